--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,20 +1,22 @@
-//! Admission beside the upstream: run now, wait, or refuse at once.
+//! Admission control in front of one upstream: run a request now, queue it, or refuse it.
 //!
-//! Load pattern: several nodes place requests here at once, each with a picture that is some
-//! hundred milliseconds old, and upstreams slow down before all their slots are taken. A
-//! request runs while the upstream has fewer than its limit. Beyond that it waits in
-//! [`crate::queue`], and it is refused at once, truthfully as not run, when its turn would
-//! come too late, so that its entry can place it elsewhere while there is time.
+//! Load pattern: several nodes send requests to the same upstream concurrently, each using load
+//! data that is a few hundred milliseconds old, and upstreams slow down before all their slots are
+//! taken. A request runs while fewer requests than the limit are in flight. Otherwise it waits in
+//! [`crate::queue`]. A request that would start too late is refused immediately with the outcome
+//! "not run", so that the entry node still has time to try another host.
 //!
-//! Under more load than can be served, an answer in time is worth far more than a late one, and
-//! both take the same slot. So a newcomer that can meet its target counts as waiting behind
-//! those only that go first, late ones get what is left over, and few of them wait: whoever
-//! turns late beyond that is told so at once, while its caller has time left to come back.
+//! Under overload, an answer within the target latency is worth far more than a late one, and both
+//! occupy a slot for the same time. The wait of a request that can meet its target is therefore
+//! estimated from only the requests that go before it. Late requests get the remaining capacity,
+//! and only a few of them may wait. Any further late request is refused immediately, while its
+//! caller still has time to retry.
 //!
-//! A quarter of the hosts is several times slower at any moment, and work that begins then is
-//! slow to its end: begun everywhere alike, work takes 1.75 times as much of the slots as it
-//! needs. So nothing begins on a host that is in a slow phase ([`crate::pace`]), if it may go
-//! elsewhere, or if waiting for the end of the phase costs less.
+//! At any moment a quarter of the hosts is several times slower than usual, and a request that
+//! starts on such a host stays slow until it finishes. If requests start regardless of this, they
+//! use 1.75 times the slot time that they need. A request therefore doesn't start on a host in a
+//! slow phase ([`crate::pace`]) if another host may take it, or if waiting for the end of the
+//! phase costs less.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -31,49 +33,50 @@
 use crate::warm_up::WarmUp;
 use crate::work::{Class, Demand, Times};
 
-/// One in so many of the limit may wait though it will miss its target.
-const LATE_PART: usize = 2;
-/// However much of the slots goes to those before it, a request is expected to get this share of
-/// each turn: a wait of five times the usual is more than any target allows.
-const LEFT_LEAST: f64 = 0.2;
+/// The capacity divided by this is the number of requests that may wait although they will miss
+/// their target.
+const LATE_DIVISOR: usize = 2;
+/// Lower bound on the estimated share of the slots that remains for a request after more urgent
+/// ones. At 0.2 the estimated wait is five times the usual, which is longer than any target allows.
+const MIN_REMAINING_SHARE: f64 = 0.2;
 
-/// What happens to a request that just arrived.
+/// Decision on a newly arrived request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It holds a slot; hand it over.
+    /// The request holds a slot; send it to the upstream.
     Admit,
-    /// It waits; an [`Action`] will follow.
+    /// The request is queued; an [`Action`] will follow.
     Queue,
-    /// It is given up on.
+    /// The request is refused.
     Refuse(Refusal),
 }
 
-/// What to do with a request that waited.
+/// What to do with a request that was queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// It holds a slot; hand it over.
+    /// The request holds a slot; send it to the upstream.
     Admit(Id),
-    /// It is given up on.
+    /// The request is refused.
     Refuse(Id, Refusal),
 }
 
-/// How the upstream began to answer a request.
+/// How the upstream started to answer a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// With its result.
+    /// The upstream sent the result.
     Served,
-    /// By shedding it: the limit is too high for its present speed.
+    /// The upstream shed the request: the limit is too high for its current speed.
     Shed,
 }
 
-/// The slots of one upstream and what waits for them.
+/// The slots of one upstream and the requests that wait for them.
 #[derive(Debug)]
 pub struct Admission {
     settings: Settings,
     limit: Limit,
     running: HashMap<Id, Running>,
     queue: Queue,
-    /// Requests let wait though they were expected to miss their target.
+    /// Requests that were queued although they were expected to miss their target.
     expected_late: HashSet<Id>,
     times: Times,
     demand: Demand,
@@ -85,14 +88,14 @@
 
 #[derive(Clone, Debug)]
 struct Running {
-    since: Instant,
+    started_at: Instant,
     route: Arc<str>,
-    /// How slow the host was when it began, in percent of its usual pace.
-    percent: u32,
+    /// Service time on the host when the request started, in percent of its usual one.
+    slowness_percent: u32,
 }
 
 impl Admission {
-    /// An upstream with `slots` and nothing running.
+    /// Creates the admission control of an upstream with `slots` slots, none of them in use.
     #[must_use]
     pub fn new(settings: Settings, slots: u32) -> Self {
         Self {
@@ -110,37 +113,37 @@
         }
     }
 
-    /// The same admission, in front of an upstream that may be cold.
+    /// Limits starts by the warm-up state of an upstream that may be cold.
     #[must_use]
     pub fn with_warm_up(self, warm_up: WarmUp) -> Self {
         Self { warm_up, ..self }
     }
 
-    /// What is known of the upstream's warm-up.
+    /// Returns the warm-up state of the upstream.
     #[must_use]
     pub const fn warm_up(&self) -> &WarmUp {
         &self.warm_up
     }
 
-    /// Takes what is heard of the upstream's warm-up; call [`Self::poll`] after it.
+    /// Returns the warm-up state for updates; call [`Self::poll`] after changing it.
     pub const fn warm_up_mut(&mut self) -> &mut WarmUp {
         &mut self.warm_up
     }
 
-    /// Takes other settings.
+    /// Replaces the settings and resets the limit.
     pub fn set_settings(&mut self, settings: Settings) {
         self.settings = settings;
         self.limit = Limit::new(&self.settings, self.limit.slots());
     }
 
-    /// Takes the number of slots that the upstream announced.
+    /// Sets the number of slots that the upstream announced; a change resets the limit.
     pub fn set_slots(&mut self, slots: u32) {
         if slots != self.limit.slots() {
             self.limit = Limit::new(&self.settings, slots);
         }
     }
 
-    /// The upstream told its load; true if it tells of another slowness than before.
+    /// Records a load report of the upstream; returns whether the known slowness changed.
     pub fn observe_load(&mut self, now: Instant, load: &Upstream) -> bool {
         let before = self.pace.percent(&self.settings, now);
         self.pace
@@ -148,9 +151,9 @@
         before != self.pace.percent(&self.settings, now)
     }
 
-    /// The upstream has started again: it is cold, and what was learnt of the start before, its
-    /// pace, its times and how much it bore, does not hold. Requests that hold a slot give it
-    /// back when they are found lost.
+    /// Resets what was learned about the upstream after it restarted. A new instance is cold, so
+    /// the pace, service times and limit of the previous one no longer apply. Requests that hold a
+    /// slot release it once they are found to be lost.
     pub fn restarted(&mut self) {
         self.times = Times::new(&self.settings);
         self.limit = Limit::new(&self.settings, self.limit.slots());
@@ -158,23 +161,23 @@
         self.warm_up.restarted();
     }
 
-    /// Whether the upstream told lately how fast its host is.
+    /// Returns whether the upstream recently reported the pace of its host.
     #[must_use]
     pub fn knows_pace(&self, now: Instant) -> bool {
         self.pace.is_fresh(&self.settings, now)
     }
 
-    /// Whether requests wait for the end of a slow phase.
+    /// Returns whether requests are queued until a slow phase ends.
     #[must_use]
     pub fn is_held(&self, now: Instant) -> bool {
         !self.queue.is_empty() && self.pace.slow_percent(&self.settings, now).is_some()
     }
 
-    /// Decides on a request that just arrived.
+    /// Admits, queues or refuses a request that just arrived.
     pub fn arrive(&mut self, now: Instant, arrival: Arrival, weight: f64) -> Decision {
-        let (priority, goes_on) = (arrival.priority, arrival.only_in_time);
+        let (priority, may_go_elsewhere) = (arrival.priority, arrival.only_in_time);
         let decision = self.decide(now, arrival, weight);
-        if matches!(decision, Decision::Refuse(_)) && !goes_on {
+        if matches!(decision, Decision::Refuse(_)) && !may_go_elsewhere {
             self.shares.record(now, priority, false);
         }
         decision
@@ -185,26 +188,26 @@
             return Decision::Refuse(self.refusal(now, Reason::Late));
         }
         let may_begin = self.pace.beginning(&self.settings, now);
-        if self.can_run(now) && self.queue.is_empty() && may_begin(self.needed(&arrival)) {
+        if self.can_run(now) && self.queue.is_empty() && may_begin(self.expected_time(&arrival)) {
             self.queue.charge(&arrival, weight);
             self.run(now, &arrival);
             return Decision::Admit;
         }
-        let in_time = self.done(now, &arrival, weight, false) <= arrival.target;
+        let in_time = self.expected_completion(now, &arrival, weight, false) <= arrival.target;
         if !in_time {
-            if self.done(now, &arrival, weight, true) > arrival.deadline {
+            if self.expected_completion(now, &arrival, weight, true) > arrival.deadline {
                 return Decision::Refuse(self.refusal(now, Reason::Deadline));
             }
-            if arrival.only_in_time || self.late_most(now) <= self.late(now) {
+            if arrival.only_in_time || self.max_late(now) <= self.late_count(now) {
                 return Decision::Refuse(self.refusal(now, Reason::Late));
             }
         }
-        if self.queue.len() >= self.queue_most() {
+        if self.queue.len() >= self.max_queued() {
             let order = self.order(now);
             let Some(displaced) = self.queue.displace(&arrival, weight, order) else {
                 return Decision::Refuse(self.refusal(now, Reason::Busy));
             };
-            self.give_up(now, &displaced, Reason::Busy);
+            self.refuse_queued(now, &displaced, Reason::Busy);
         }
         if !in_time {
             self.expected_late.insert(arrival.id);
@@ -213,18 +216,19 @@
         Decision::Queue
     }
 
-    /// The upstream began to answer a request that holds a slot.
+    /// Records that the upstream started to answer a request that holds a slot.
     ///
-    /// The time until then is what a request costs; how long the body then takes is
-    /// up to the caller who reads it.
+    /// The time until the start of the answer counts as the request's service time. The time for
+    /// the body depends on how fast the caller reads it.
     pub fn answered(&mut self, now: Instant, id: Id, answer: Answer) {
         let Some(running) = self.running.get(&id) else {
             return;
         };
         match answer {
             Answer::Served => {
-                let took = now.duration_since(running.since);
-                self.times.add(&running.route, took, running.percent);
+                let service_time = now.duration_since(running.started_at);
+                self.times
+                    .record(&running.route, service_time, running.slowness_percent);
                 self.limit.raise(&self.settings);
             }
             Answer::Shed => {
@@ -234,17 +238,17 @@
         }
     }
 
-    /// A request that held a slot is over, whatever came of it.
+    /// Releases the slot of a finished request, whatever its outcome.
     pub fn finish(&mut self, id: Id) {
         self.running.remove(&id);
     }
 
-    /// The caller of a request that waits has gone.
+    /// Removes a queued request whose caller has gone away.
     pub fn withdraw(&mut self, id: Id) {
         self.queue.remove(id);
     }
 
-    /// Refuses everything that waits, as when the upstream turns doubtful.
+    /// Refuses all queued requests, for example when the upstream becomes doubtful.
     pub fn refuse_waiting(&mut self, now: Instant, reason: Reason) {
         let refusal = self.refusal(now, reason);
         let actions = &mut self.actions;
@@ -254,10 +258,10 @@
         );
     }
 
-    /// What to do next; call until `None` after each event and at [`Self::wake_at`].
+    /// Returns the next action; call until `None` after each event and at [`Self::wake_at`].
     pub fn poll(&mut self, now: Instant) -> Option<Action> {
-        self.refuse_hopeless(now);
-        self.refuse_late(now);
+        self.refuse_past_deadline(now);
+        self.refuse_excess_late(now);
         if let Some(action) = self.actions.pop_front() {
             return Some(action);
         }
@@ -267,68 +271,73 @@
         let times = &self.times;
         let order = self.order(now);
         let may_begin = self.pace.beginning(&self.settings, now);
-        let arrival = self
-            .queue
-            .pop(now, order, |arrival| times.of(&arrival.route), may_begin)?;
+        let arrival = self.queue.pop(
+            now,
+            order,
+            |arrival| times.for_route(&arrival.route),
+            may_begin,
+        )?;
         self.run(now, &arrival);
         Some(Action::Admit(arrival.id))
     }
 
-    /// When a waiting request must be refused or is late unless its turn comes before, what was
-    /// told of a slow phase is no longer believed, or a cold upstream bears another start.
+    /// Returns when [`Self::poll`] must be called next if no other event happens before. At that
+    /// time a queued request becomes late or has to be refused, the last report of a slow phase
+    /// expires, or a cold upstream can take another request.
     #[must_use]
     pub fn wake_at(&self, now: Instant) -> Option<Instant> {
-        let turns = self.queue.iter().map(|arrival| {
-            let needed = self.needed(arrival);
-            let in_time = latest_start(arrival.target, needed);
+        let latest_starts = self.queue.iter().map(|arrival| {
+            let expected_time = self.expected_time(arrival);
+            let in_time = latest_start(arrival.target, expected_time);
             if now < in_time {
                 in_time
             } else {
-                latest_start(arrival.deadline, needed)
+                latest_start(arrival.deadline, expected_time)
             }
         });
-        let first = turns.min()?;
-        let believed_until = self.pace.slow_until(&self.settings);
+        let earliest = latest_starts.min()?;
+        let slow_until = self.pace.slow_until(&self.settings);
         let starts_at = self.warm_up.next_start(now);
-        [Some(first), believed_until, starts_at]
+        [Some(earliest), slow_until, starts_at]
             .into_iter()
             .flatten()
             .min()
     }
 
-    /// The load at this moment.
+    /// Returns the current load.
     #[must_use]
     pub fn report(&self, now: Instant) -> Report {
         Report {
-            in_flight: saturate(self.running.len()),
-            queued: saturate(self.queue.len()),
-            limit: limit::whole(self.capacity(now)),
-            service_micros: saturate(self.times.mean().as_micros()),
+            in_flight: saturating_u32(self.running.len()),
+            queued: saturating_u32(self.queue.len()),
+            limit: limit::whole_requests(self.capacity(now)),
+            service_micros: saturating_u32(self.times.mean().as_micros()),
             slowness_percent: self.pace.percent(&self.settings, now),
         }
     }
 
-    /// Mean time of a request in the upstream.
+    /// Returns the mean service time of requests in the upstream.
     #[must_use]
     pub fn service_time(&self) -> Duration {
         self.times.mean()
     }
 
-    /// A refusal as not run that says when the queue will have drained.
+    /// Returns a "not run" refusal whose retry time is when the queue is expected to be empty.
     #[must_use]
     pub fn refusal(&self, now: Instant, reason: Reason) -> Refusal {
-        let drained =
-            self.times.mean().as_secs_f64() * count(self.queue.len() + 1) / self.capacity(now);
-        let wait = Duration::from_secs_f64(drained).max(self.settings.retry_after_least);
+        let drain_seconds =
+            self.times.mean().as_secs_f64() * to_f64(self.queue.len() + 1) / self.capacity(now);
+        let wait = Duration::from_secs_f64(drain_seconds).max(self.settings.retry_after_least);
         Refusal::not_run(reason, now + wait)
     }
 
     fn can_run(&self, now: Instant) -> bool {
-        saturate(self.running.len()) < self.limit.whole() && self.warm_up.next_start(now).is_none()
+        saturating_u32(self.running.len()) < self.limit.whole_requests()
+            && self.warm_up.next_start(now).is_none()
     }
 
-    /// Requests that the upstream works on at once, in the mean; while it is cold its rate may
-    /// bind before its slots do.
+    /// Mean number of requests that the upstream processes concurrently. While the upstream is
+    /// cold, its request rate may be the tighter limit.
     fn capacity(&self, now: Instant) -> f64 {
         let slots = self.limit.requests();
         let rate = self.warm_up.rate(now);
@@ -338,62 +347,73 @@
     }
 
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    fn queue_most(&self) -> usize {
+    fn max_queued(&self) -> usize {
         let by_slots = (f64::from(self.limit.slots()) * self.settings.queue_per_slot) as usize;
         by_slots.max(self.settings.queue_least)
     }
 
-    /// Requests that may wait though they will miss their target: as many as are done within
-    /// about a service time when nothing more urgent comes, and so few that those given up
-    /// at their deadline are few.
-    fn late_most(&self, now: Instant) -> usize {
-        let capacity = limit::whole(self.capacity(now));
-        usize::try_from(capacity).unwrap_or(usize::MAX) / LATE_PART
+    /// Number of requests that may wait although they will miss their target. It is what the
+    /// upstream can finish in about one service time if nothing more urgent arrives, and small
+    /// enough that few of them are refused at their deadline.
+    fn max_late(&self, now: Instant) -> usize {
+        let capacity = limit::whole_requests(self.capacity(now));
+        usize::try_from(capacity).unwrap_or(usize::MAX) / LATE_DIVISOR
     }
 
-    /// Requests waiting that are not expected to meet their target.
-    fn late(&mut self, now: Instant) -> usize {
-        let waiting: HashSet<Id> = self.queue.iter().map(|arrival| arrival.id).collect();
-        self.expected_late.retain(|id| waiting.contains(id));
+    /// Number of queued requests that are expected to miss their target.
+    fn late_count(&mut self, now: Instant) -> usize {
+        let queued: HashSet<Id> = self.queue.iter().map(|arrival| arrival.id).collect();
+        self.expected_late.retain(|id| queued.contains(id));
         let late = |arrival: &&Arrival| {
             self.expected_late.contains(&arrival.id) || self.is_late(now, arrival)
         };
         self.queue.iter().filter(late).count()
     }
 
-    /// When a newcomer would be answered, if it goes before those that will be late, or behind
-    /// them as one of them.
-    fn done(&self, now: Instant, arrival: &Arrival, weight: f64, late: bool) -> Instant {
-        let needed = self.needed(arrival);
+    /// Estimates when a new request would be answered. With `as_late` it has the class of requests
+    /// that will miss their target, and late requests in the queue also count as ahead of it.
+    fn expected_completion(
+        &self,
+        now: Instant,
+        arrival: &Arrival,
+        weight: f64,
+        as_late: bool,
+    ) -> Instant {
+        let expected_time = self.expected_time(arrival);
         let order = self.order(now);
         let rank = order(arrival.priority);
         let goes_first = |other: &Arrival| {
-            let timely = !self.is_late(now, other);
-            late || timely && (order(other.priority) < rank || other.target <= arrival.target)
+            let meets_target = !self.is_late(now, other);
+            as_late
+                || meets_target && (order(other.priority) < rank || other.target <= arrival.target)
+        };
+        let turns_ahead = self.queue.turns_before(arrival, weight, &order, goes_first) + 1.0;
+        let class = Class {
+            late: as_late,
+            rank,
         };
-        let turns = self.queue.turns_before(arrival, weight, &order, goes_first) + 1.0;
-        let class = Class { late, rank };
         let capacity = self.capacity(now);
-        let left = 1.0 - self.demand.before(now, class, capacity);
-        let wait = self.times.mean().as_secs_f64() * turns / (capacity * left.max(LEFT_LEAST));
+        let remaining_share = 1.0 - self.demand.share_before(now, class, capacity);
+        let wait = self.times.mean().as_secs_f64() * turns_ahead
+            / (capacity * remaining_share.max(MIN_REMAINING_SHARE));
         let starts_at = self.warm_up.next_start(now).unwrap_or(now);
         starts_at.max(now + Duration::from_secs_f64(wait))
-            + needed
-            + self.pace.penalty(&self.settings, now, needed)
+            + expected_time
+            + self.pace.penalty(&self.settings, now, expected_time)
     }
 
-    /// Whether a request misses its target if it begins now.
+    /// Returns whether a request misses its target even if it starts now.
     fn is_late(&self, now: Instant, arrival: &Arrival) -> bool {
-        now + self.needed(arrival) > arrival.target
+        now + self.expected_time(arrival) > arrival.target
     }
 
-    /// The order among ranks at this moment.
+    /// Returns the current order of the ranks.
     fn order(&self, now: Instant) -> impl Fn(u8) -> u8 + use<> {
         self.shares.order(now, self.settings.rank_share_least)
     }
 
-    /// Gives up a request that waited.
-    fn give_up(&mut self, now: Instant, arrival: &Arrival, reason: Reason) {
+    /// Refuses a request that was queued.
+    fn refuse_queued(&mut self, now: Instant, arrival: &Arrival, reason: Reason) {
         if !arrival.only_in_time {
             self.shares.record(now, arrival.priority, false);
         }
@@ -401,9 +421,9 @@
         self.actions.push_back(Action::Refuse(arrival.id, refusal));
     }
 
-    /// Expected time of this request in the upstream.
-    fn needed(&self, arrival: &Arrival) -> Duration {
-        self.times.of(&arrival.route)
+    /// Expected service time of this request in the upstream.
+    fn expected_time(&self, arrival: &Arrival) -> Duration {
+        self.times.for_route(&arrival.route)
     }
 
     fn run(&mut self, now: Instant, arrival: &Arrival) {
@@ -411,63 +431,65 @@
             late: self.is_late(now, arrival),
             rank: self.order(now)(arrival.priority),
         };
-        self.demand.began(now, class, self.needed(arrival));
+        self.demand
+            .record_start(now, class, self.expected_time(arrival));
         self.shares.record(now, arrival.priority, !class.late);
         let running = Running {
-            since: now,
+            started_at: now,
             route: Arc::clone(&arrival.route),
-            percent: self.pace.beside_usual(&self.settings, now),
+            slowness_percent: self.pace.beside_usual(&self.settings, now),
         };
         self.running.insert(arrival.id, running);
         self.warm_up.started(now);
     }
 
-    /// Refuses what can no longer be answered by its deadline, while it still knows.
-    fn refuse_hopeless(&mut self, now: Instant) {
+    /// Refuses queued requests that can no longer finish by their deadline, at a time when the
+    /// refusal still reaches the caller before the deadline.
+    fn refuse_past_deadline(&mut self, now: Instant) {
         if self.queue.is_empty() {
             return;
         }
-        let (times, mut hopeless) = (&self.times, Vec::new());
+        let (times, mut expired) = (&self.times, Vec::new());
         self.queue.retain(
-            |arrival| now < latest_start(arrival.deadline, times.of(&arrival.route)),
-            |arrival| hopeless.push(arrival.clone()),
+            |arrival| now < latest_start(arrival.deadline, times.for_route(&arrival.route)),
+            |arrival| expired.push(arrival.clone()),
         );
-        for arrival in hopeless {
-            self.give_up(now, &arrival, Reason::Deadline);
+        for arrival in expired {
+            self.refuse_queued(now, &arrival, Reason::Deadline);
         }
     }
 
-    /// Refuses those that have turned late beyond the few that may wait: the less urgent first,
-    /// and of one rank those that came last.
+    /// Refuses late requests beyond the number that may wait: less urgent ranks first, and within
+    /// a rank the requests with the latest deadline first.
     ///
-    /// Failure: requests that were expected in time are overtaken by more urgent ones and wait on.
-    /// Symptom: they hold their callers until the deadline, and what is served of them takes slots
-    /// for an answer that is worth little.
-    fn refuse_late(&mut self, now: Instant) {
-        let late_most = self.late_most(now);
-        if self.queue.len() <= late_most {
+    /// Failure: requests that were expected to meet their target are overtaken by more urgent ones
+    /// and keep waiting. Symptom: their callers wait until the deadline, and those that do run use
+    /// slots for answers that are worth little.
+    fn refuse_excess_late(&mut self, now: Instant) {
+        let max_late = self.max_late(now);
+        if self.queue.len() <= max_late {
             return;
         }
-        let waiting = self.queue.iter();
-        let late = waiting.filter(|arrival| self.is_late(now, arrival));
+        let queued = self.queue.iter();
+        let late = queued.filter(|arrival| self.is_late(now, arrival));
         let mut late: Vec<Arrival> = late.cloned().collect();
         late.sort_unstable_by_key(|arrival| (arrival.priority, arrival.deadline, arrival.id));
-        for arrival in late.into_iter().skip(late_most) {
+        for arrival in late.into_iter().skip(max_late) {
             self.queue.remove(arrival.id);
-            self.give_up(now, &arrival, Reason::Late);
+            self.refuse_queued(now, &arrival, Reason::Late);
         }
     }
 }
 
-fn latest_start(by: Instant, needed: Duration) -> Instant {
-    by.checked_sub(needed).unwrap_or(by)
+fn latest_start(finish_by: Instant, expected_time: Duration) -> Instant {
+    finish_by.checked_sub(expected_time).unwrap_or(finish_by)
 }
 
-fn saturate<T: TryInto<u32>>(number: T) -> u32 {
+fn saturating_u32<T: TryInto<u32>>(number: T) -> u32 {
     number.try_into().unwrap_or(u32::MAX)
 }
 
 #[allow(clippy::cast_precision_loss)]
-const fn count(number: usize) -> f64 {
+const fn to_f64(number: usize) -> f64 {
     number as f64
 }
--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -1,14 +1,15 @@
-//! How many requests run in the upstream at once.
+//! Concurrency limit of an upstream.
 //!
-//! Load pattern: upstreams slow down before all their slots are taken, and shed what they cannot
-//! queue. A share of the slots is used at most; where the upstream sheds all the same, the limit
-//! falls by a factor, once for what was running when it did, and rises again with good answers.
+//! Load pattern: upstreams slow down before all their slots are taken, and shed requests that they
+//! cannot queue. The limit is at most a share of the slots. If the upstream sheds load
+//! nevertheless, the limit is multiplied by a decrease factor, once for all requests that were in
+//! flight at that time, and rises again with successful answers.
 
 use std::time::{Duration, Instant};
 
 use crate::configs::admission::Settings;
 
-/// The limit of one upstream.
+/// Concurrency limit of one upstream.
 #[derive(Debug)]
 pub struct Limit {
     slots: u32,
@@ -17,45 +18,46 @@
 }
 
 impl Limit {
-    /// What the settings allow of so many slots.
+    /// Creates the highest limit that the settings allow for this number of slots.
     #[must_use]
     pub fn new(settings: &Settings, slots: u32) -> Self {
         Self {
             slots,
-            requests: most_of(settings, slots),
+            requests: max_requests(settings, slots),
             lowered_at: None,
         }
     }
 
-    /// Slots of the upstream.
+    /// Number of slots of the upstream.
     #[must_use]
     pub const fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Requests that run at once, in fractions while the limit rises.
+    /// Maximum number of concurrent requests; fractional while the limit rises.
     #[must_use]
     pub const fn requests(&self) -> f64 {
         self.requests
     }
 
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests, rounded down to whole requests.
     #[must_use]
-    pub fn whole(&self) -> u32 {
-        whole(self.requests)
+    pub fn whole_requests(&self) -> u32 {
+        whole_requests(self.requests)
     }
 
-    /// The upstream answered well.
+    /// Raises the limit after a successful answer.
     pub fn raise(&mut self, settings: &Settings) {
         let raised = self.requests + settings.limit_increase / self.requests;
-        self.requests = raised.min(most_of(settings, self.slots));
+        self.requests = raised.min(max_requests(settings, self.slots));
     }
 
-    /// The upstream shed a request, where requests take so long. It is lowered once in that
-    /// time: what was already running when it fell says nothing about the new limit.
+    /// Lowers the limit after the upstream shed a request, at most once per `service_time`.
+    /// Requests that were already in flight when the limit fell don't show whether the new limit
+    /// is too high.
     pub fn lower(&mut self, settings: &Settings, now: Instant, service_time: Duration) {
-        let settled = self.lowered_at.is_none_or(|at| now >= at + service_time);
-        if !settled {
+        let may_lower = self.lowered_at.is_none_or(|at| now >= at + service_time);
+        if !may_lower {
             return;
         }
         self.lowered_at = Some(now);
@@ -64,14 +66,14 @@
     }
 }
 
-/// Whole requests of a limit or capacity: at least one.
+/// Rounds a limit or capacity down to whole requests, to at least one.
 #[must_use]
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-pub fn whole(requests: f64) -> u32 {
+pub fn whole_requests(requests: f64) -> u32 {
     requests.max(1.0) as u32
 }
 
-/// Requests that run at once while all is well.
-fn most_of(settings: &Settings, slots: u32) -> f64 {
+/// Maximum number of concurrent requests while the upstream sheds no load.
+fn max_requests(settings: &Settings, slots: u32) -> f64 {
     (f64::from(slots) * settings.slots_share).max(1.0)
 }
--- a/crates/core/src/shares.rs
+++ b/crates/core/src/shares.rs
@@ -1,79 +1,82 @@
-//! How often requests of each rank begin in time, beside those of all ranks.
+//! Share of the requests of each rank that start in time, compared with all ranks.
 //!
-//! Load pattern: a service is short for many seconds, and its more urgent work alone takes nearly
-//! all slots. By rank alone the least urgent gets what is left over, which is next to nothing: of
-//! three ranks at 1.5 times what the slots carry one in two hundred of its requests is in time,
-//! though it asks for a seventh of the slots. So a rank whose requests begin in time far less
-//! often than those of all ranks together stands beside the most urgent, in the order of their
-//! targets, until it has caught up to a share of that.
+//! Load pattern: a service is overloaded for many seconds, and its more urgent requests alone take
+//! nearly all slots. With strict priority the least urgent rank gets almost nothing: with three
+//! ranks at 1.5 times the load that the slots can take, one in two hundred of its requests is in
+//! time, although it needs only a seventh of the slots. A rank whose requests start in time far
+//! less often than those of all ranks together is therefore treated as most urgent, ordered by
+//! target among the most urgent requests, until it has caught up to a minimum share.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// What became of requests counts with this memory. A small upstream sees some three requests a
-/// second of a rank, so ten of them are remembered; a shortage lasts longer.
-const MEMORY: Duration = Duration::from_secs(3);
-/// With fewer requests remembered than this nothing is said of a rank: one refused request of a
-/// rank that hardly asks is chance.
-const ASKED_LEAST: f64 = 2.0;
+/// Time constant of the exponential decay of the counts. A small upstream gets about three
+/// requests per second of a rank, so about ten of them count; overload lasts longer than that.
+const DECAY_TIME: Duration = Duration::from_secs(3);
+/// A rank with a lower decayed request count than this isn't evaluated: a single refused request
+/// of a rank with very few requests may be chance.
+const MIN_REQUESTS: f64 = 2.0;
 
-/// What became of the requests of each rank lately.
+/// Recent results of the requests of each rank.
 #[derive(Debug, Default)]
 pub struct Shares {
     ranks: BTreeMap<u8, Tally>,
 }
 
-/// Requests, fading.
+/// Request counts with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
-    asked: f64,
+    requests: f64,
     in_time: f64,
-    at: Option<Instant>,
+    updated_at: Option<Instant>,
 }
 
 impl Tally {
-    fn now(self, now: Instant) -> Self {
-        let age = self.at.map(|at| now.saturating_duration_since(at));
-        let left = age.map_or(1.0, |age| (-age.div_duration_f64(MEMORY)).exp());
+    fn decayed(self, now: Instant) -> Self {
+        let age = self.updated_at.map(|at| now.saturating_duration_since(at));
+        let decay = age.map_or(1.0, |age| (-age.div_duration_f64(DECAY_TIME)).exp());
         Self {
-            asked: self.asked * left,
-            in_time: self.in_time * left,
-            at: Some(now),
+            requests: self.requests * decay,
+            in_time: self.in_time * decay,
+            updated_at: Some(now),
         }
     }
 }
 
 impl Shares {
-    /// A request began while it could still meet its target, or is over without that: it began
-    /// late, or was refused where no other host would be asked.
+    /// Records one request of a rank. `in_time` is true if the request started while it could
+    /// still meet its target, and false if it started late, or was refused and no other host will
+    /// be tried.
     pub fn record(&mut self, now: Instant, priority: u8, in_time: bool) {
         let tally = self.ranks.entry(priority).or_default();
-        *tally = tally.now(now);
-        tally.asked += 1.0;
+        *tally = tally.decayed(now);
+        tally.requests += 1.0;
         if in_time {
             tally.in_time += 1.0;
         }
     }
 
-    /// The order among ranks at this moment; the lowest goes first. A rank stands beside the most
-    /// urgent while it is served in time less than `least` times as often as all together.
-    pub fn order(&self, now: Instant, least: f64) -> impl Fn(u8) -> u8 + use<> {
+    /// Returns a function from priority to current position in the order; the lowest goes first.
+    /// A rank gets the position of the most urgent one while its share of requests that start in
+    /// time is less than `min_share` times that of all ranks together.
+    pub fn order(&self, now: Instant, min_share: f64) -> impl Fn(u8) -> u8 + use<> {
         let tallies = self.ranks.iter();
-        let tallies = tallies.map(|(priority, tally)| (*priority, tally.now(now)));
+        let tallies = tallies.map(|(priority, tally)| (*priority, tally.decayed(now)));
         let tallies: Vec<(u8, Tally)> = tallies.collect();
-        let asked: f64 = tallies.iter().map(|(_, tally)| tally.asked).sum();
+        let requests: f64 = tallies.iter().map(|(_, tally)| tally.requests).sum();
         let in_time: f64 = tallies.iter().map(|(_, tally)| tally.in_time).sum();
-        let is_behind = |tally: &Tally| {
-            tally.asked >= ASKED_LEAST && tally.in_time * asked < least * in_time * tally.asked
+        let is_underserved = |tally: &Tally| {
+            tally.requests >= MIN_REQUESTS
+                && tally.in_time * requests < min_share * in_time * tally.requests
         };
-        let behind: Vec<u8> = tallies
+        let underserved: Vec<u8> = tallies
             .iter()
-            .filter(|(_, tally)| is_behind(tally))
+            .filter(|(_, tally)| is_underserved(tally))
             .map(|(priority, _)| *priority)
             .collect();
         let most_urgent = self.ranks.keys().next().copied().unwrap_or(0);
         move |priority| {
-            if behind.contains(&priority) {
+            if underserved.contains(&priority) {
                 most_urgent
             } else {
                 priority
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: slots, the fair queue, deadlines and the limit.
+//! Tests of admission control: slots, the fair queue, deadlines and the concurrency limit.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,11 +10,11 @@
 use mintridge_core::request::{Arrival, Id};
 use rstest::rstest;
 
-const SERVICE: Duration = Duration::from_millis(20);
+const SERVICE_TIME: Duration = Duration::from_millis(20);
 
 fn admission(slots: u32) -> Admission {
     let settings = Settings {
-        service_time_initial: SERVICE,
+        service_time_initial: SERVICE_TIME,
         ..Settings::default()
     };
     Admission::new(settings, slots)
@@ -36,7 +36,7 @@
     std::iter::from_fn(|| admission.poll(now)).collect()
 }
 
-/// Ids admitted one by one while each admitted request finishes at once.
+/// Returns the ids in the order of admission, finishing each admitted request immediately.
 fn run_queue(admission: &mut Admission, now: Instant, mut running: Id) -> Vec<u64> {
     let mut order = Vec::new();
     loop {
@@ -67,12 +67,12 @@
 }
 
 #[test]
-fn arrive_refuses_at_once_what_cannot_be_in_time() {
+fn arrive_refuses_requests_that_cannot_meet_their_deadline() {
     let now = Instant::now();
     let mut admission = admission(1);
     let late = now + Duration::from_secs(10);
     admission.arrive(now, arrival(0, "a", late), 1.0);
-    let soon = now + SERVICE;
+    let soon = now + SERVICE_TIME;
     let Decision::Refuse(refusal) = admission.arrive(now, arrival(1, "a", soon), 1.0) else {
         panic!("must be refused");
     };
@@ -81,9 +81,8 @@
     assert!(refusal.retry_at > now);
 }
 
-/// What the caller sees: a queued request whose turn does not come is refused while
-/// there is still time to go elsewhere, not at its deadline. Order: one runs for good,
-/// one waits, time passes.
+/// Guards against refusing a queued request only at its deadline, when there is no time left to try
+/// another host. One request holds the only slot while another one waits.
 #[test]
 fn poll_refuses_waiting_before_its_deadline() {
     let now = Instant::now();
@@ -98,9 +97,8 @@
     assert!(matches!(refused[..], [Action::Refuse(Id(1), _)]));
 }
 
-/// What the callers see: a large client account that filled the queue waits behind itself;
-/// a small one that comes later is next. Order: the large one's requests queue, then
-/// one of the small one, then slots come free one by one.
+/// Guards against a large client account delaying a small one. The large account fills the queue,
+/// then the small account's request arrives and must be admitted first.
 #[test]
 fn dequeue_is_fair_between_client_accounts() {
     let now = Instant::now();
@@ -135,8 +133,8 @@
     assert_eq!(heavy.count(), heavy_in_first_four);
 }
 
-/// What the callers see: with the queue full of a large client account's requests, a small
-/// client account still gets a place; the large one's newest request is refused as not run.
+/// Guards against a large client account that fills the queue and keeps a small one out. The small
+/// account's request is queued, and the large account's newest one is refused as not run.
 #[test]
 fn arrive_displaces_the_longest_backlog_when_full() {
     let now = Instant::now();
@@ -156,7 +154,7 @@
 }
 
 #[test]
-fn withdraw_frees_the_place_in_the_queue() {
+fn withdraw_removes_the_request_from_the_queue() {
     let now = Instant::now();
     let mut admission = admission(1);
     let late = now + Duration::from_secs(10);
@@ -183,9 +181,9 @@
     assert!(lowered < 10, "limit {lowered}");
     for id in 10..400 {
         admission.arrive(now, arrival(id, "a", late), 1.0);
-        admission.answered(now + SERVICE, Id(id), Answer::Served);
+        admission.answered(now + SERVICE_TIME, Id(id), Answer::Served);
         admission.finish(Id(id));
-        now += SERVICE;
+        now += SERVICE_TIME;
     }
     assert_eq!(admission.report(now).limit, 10);
 }
@@ -201,36 +199,35 @@
     admission.refuse_waiting(now, Reason::Doubtful);
     let refused = drain(&mut admission, now);
     assert_eq!(refused.len(), 2);
-    let truthful =
+    let is_not_run =
         |action: &Action| matches!(action, Action::Refuse(_, r) if r.outcome == Outcome::NotRun);
-    assert!(refused.iter().all(truthful));
+    assert!(refused.iter().all(is_not_run));
 }
 
-/// An upstream that slows down before all its slots are taken is given only a share of them,
-/// also after the limit has fallen and risen again.
+/// An upstream that slows down before all its slots are taken gets requests for only a share of
+/// them, also after successful answers have raised the limit.
 #[test]
-fn arrive_keeps_to_the_share_of_the_slots() {
+fn arrive_admits_up_to_the_share_of_the_slots() {
     let settings = Settings {
         slots_share: 0.8,
         ..Settings::default()
     };
     let mut admission = Admission::new(settings, 12);
     let now = Instant::now();
-    let admitted = |admission: &mut Admission, count: std::ops::Range<u64>| {
-        count
-            .filter(|id| {
-                let arrival = Arrival {
-                    id: Id(*id),
-                    client_account: Arc::from("a"),
-                    deadline: now + Duration::from_secs(10),
-                    target: now + Duration::from_secs(10),
-                    priority: 0,
-                    route: Arc::from("route"),
-                    only_in_time: false,
-                };
-                admission.arrive(now, arrival, 1.0) == Decision::Admit
-            })
-            .count()
+    let admitted = |admission: &mut Admission, ids: std::ops::Range<u64>| {
+        ids.filter(|id| {
+            let arrival = Arrival {
+                id: Id(*id),
+                client_account: Arc::from("a"),
+                deadline: now + Duration::from_secs(10),
+                target: now + Duration::from_secs(10),
+                priority: 0,
+                route: Arc::from("route"),
+                only_in_time: false,
+            };
+            admission.arrive(now, arrival, 1.0) == Decision::Admit
+        })
+        .count()
     };
     assert_eq!(admitted(&mut admission, 0..20), 9);
     for _ in 0..1_000 {
@@ -247,18 +244,18 @@
     }
 }
 
-/// Several nodes chose the same upstream at once. What would be late here is refused at once
-/// where another host may do better, and waits where it is the last to be asked.
+/// Several nodes choose the same upstream concurrently. A request that would be late is refused
+/// immediately if another host can be tried, and queued if this is the last host.
 #[rstest]
-#[case::others_are_left(true, Some(Reason::Late))]
-#[case::the_last_one(false, None)]
-fn arrive_refuses_a_late_answer_while_others_are_left(
+#[case::other_hosts_remain(true, Some(Reason::Late))]
+#[case::last_host(false, None)]
+fn arrive_refuses_late_requests_while_other_hosts_remain(
     #[case] only_in_time: bool,
     #[case] refused: Option<Reason>,
 ) {
     let mut admission = admission(2);
     let now = Instant::now();
-    let (target, deadline) = (now + SERVICE, now + SERVICE * 50);
+    let (target, deadline) = (now + SERVICE_TIME, now + SERVICE_TIME * 50);
     for id in 0..2 {
         admission.arrive(now, with_target(id, target, deadline, true), 1.0);
     }
@@ -270,13 +267,13 @@
     assert_eq!(reason, refused);
 }
 
-/// An overload goes on for long: only a few wait that will be late anyway, so that few are
-/// held until they must be given up.
+/// Guards against a long overload filling the queue with late requests that wait until they are
+/// refused at their deadline.
 #[test]
-fn arrive_lets_few_late_requests_wait() {
+fn arrive_limits_late_requests_in_the_queue() {
     let mut admission = admission(8);
     let now = Instant::now();
-    let (target, deadline) = (now + SERVICE, now + SERVICE * 50);
+    let (target, deadline) = (now + SERVICE_TIME, now + SERVICE_TIME * 50);
     let waiting = (0..40)
         .filter(|id| {
             let arrival = with_target(*id, target, deadline, false);
@@ -286,13 +283,14 @@
     assert_eq!(waiting, 4);
 }
 
-const PHASE: Duration = Duration::from_millis(300);
+const SLOW_PHASE: Duration = Duration::from_millis(300);
 
-/// An upstream that told that its host is four times slower than usual; work takes 120 ms.
-fn told_slow(now: Instant) -> Admission {
+/// Admission control of an upstream that reported its host as four times slower than usual; the
+/// service time is 120 ms.
+fn on_slow_host(now: Instant) -> Admission {
     let settings = Settings {
         service_time_initial: Duration::from_millis(120),
-        slow_phase: PHASE,
+        slow_phase: SLOW_PHASE,
         ..Settings::default()
     };
     let mut admission = Admission::new(settings, 4);
@@ -311,13 +309,13 @@
     }
 }
 
-/// The host turns four times slower: what may go elsewhere is refused at once, though there
-/// are free slots, since it would be slow to its end. Once the news is old it is believed no
-/// more.
+/// The host becomes four times slower. A request that can go to another host is refused even though
+/// slots are free, because it would stay slow until it finishes. Once the report has expired, such
+/// a request is admitted again.
 #[test]
-fn arrive_on_a_slow_host_sends_elsewhere_what_may_go() {
+fn arrive_on_a_slow_host_refuses_requests_that_may_go_elsewhere() {
     let now = Instant::now();
-    let mut admission = told_slow(now);
+    let mut admission = on_slow_host(now);
     let deadline = now + Duration::from_secs(10);
     let decision = admission.arrive(now, with_target(0, deadline, deadline, true), 1.0);
     let Decision::Refuse(refusal) = decision else {
@@ -327,34 +325,34 @@
         (refusal.outcome, refusal.reason),
         (Outcome::NotRun, Reason::Late)
     );
-    let later = now + PHASE;
+    let later = now + SLOW_PHASE;
     let decision = admission.arrive(later, with_target(1, deadline, deadline, true), 1.0);
     assert_eq!(decision, Decision::Admit);
 }
 
-/// No other host is left: the request waits for the end of the phase, which costs it less
-/// than to be slow to its end, and begins as soon as the host is told fast.
+/// If no other host is left, the request waits for the end of the slow phase, which costs less than
+/// running slowly, and starts as soon as the host is reported at its usual pace.
 #[test]
 fn arrive_on_a_slow_host_waits_for_the_end_of_the_phase() {
     let now = Instant::now();
-    let mut admission = told_slow(now);
+    let mut admission = on_slow_host(now);
     let deadline = now + Duration::from_secs(10);
     let decision = admission.arrive(now, with_target(0, deadline, deadline, false), 1.0);
     assert_eq!(decision, Decision::Queue);
     assert_eq!(admission.poll(now), None);
     assert!(admission.is_held(now));
-    assert_eq!(admission.wake_at(now), Some(now + PHASE));
+    assert_eq!(admission.wake_at(now), Some(now + SLOW_PHASE));
     let ended = now + Duration::from_millis(40);
     admission.observe_load(ended, &slowness(100));
     assert_eq!(admission.poll(ended), Some(Action::Admit(Id(0))));
 }
 
-/// The host stays slow beyond any passing phase, as one whose neighbours have moved in for
-/// good: work that cannot go elsewhere begins there all the same.
+/// Guards against waiting forever on a host that stays slow longer than any temporary phase, for
+/// example because of permanent load by other tenants. Requests that can't go elsewhere start.
 #[test]
-fn poll_begins_on_a_host_that_stays_slow() {
+fn poll_admits_on_a_host_that_stays_slow() {
     let mut now = Instant::now();
-    let mut admission = told_slow(now);
+    let mut admission = on_slow_host(now);
     let deadline = now + Duration::from_secs(10);
     admission.arrive(now, with_target(0, deadline, deadline, false), 1.0);
     for _ in 0..9 {
@@ -367,15 +365,15 @@
     assert_eq!(admission.poll(now), Some(Action::Admit(Id(0))));
 }
 
-/// An upstream has just begun and is cold: it takes twice as long for seconds, and four times
-/// that in a slow phase. Waiting does not make it warm, so requests begin there at twice the
-/// usual; only the slow phase is waited for.
+/// A restarted upstream is cold: requests take twice as long for seconds, and four times that in a
+/// slow phase. Waiting doesn't warm the upstream, so requests start at twice the usual service
+/// time and wait only for the end of the slow phase.
 #[rstest]
 #[case::cold(200, Decision::Admit)]
 #[case::cold_and_slow(800, Decision::Queue)]
 fn arrive_on_a_cold_host(#[case] percent: u32, #[case] expected: Decision) {
     let now = Instant::now();
-    let mut admission = told_slow(now);
+    let mut admission = on_slow_host(now);
     admission.restarted();
     admission.observe_load(now, &slowness(200));
     admission.observe_load(now, &slowness(percent));
