--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -1,12 +1,12 @@
-//! Order of the requests that wait beside an upstream.
+//! Queue of the requests that wait for a slot of an upstream.
 //!
-//! Load pattern: bursts to half as much again as an upstream can take, lasting seconds, of
-//! requests with different ranks and target latencies. First in, first out makes everybody
-//! late: the wait settles at what the deadlines allow, and every answer comes after its
-//! target. So requests that can still meet their target go first, the more urgent rank
-//! before the less urgent; those that cannot take what is left over, and are given up when
-//! they can no longer meet their deadline either. Within a rank turns are dealt fairly
-//! between client accounts by their weights.
+//! Load pattern: bursts of up to 1.5 times the load that an upstream can take, lasting seconds,
+//! of requests with different ranks and target latencies. A first-in, first-out queue makes every
+//! request late: the wait grows to what the deadlines allow, and every answer misses its target.
+//! Requests that can still meet their target therefore go first, more urgent ranks before less
+//! urgent ones. Requests that will miss their target get the remaining capacity, and are refused
+//! once they can't meet their deadline either. Within a rank, weighted fair queueing divides the
+//! turns between client accounts.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -15,63 +15,63 @@
 
 use crate::request::{Arrival, Id};
 
-/// Requests of one rank and client account; `tag` is its virtual finish time.
+/// Queued requests of one rank and client account.
 #[derive(Debug)]
 struct Lane {
     weight: f64,
-    tag: f64,
+    virtual_finish: f64,
     waiting: Vec<Arrival>,
 }
 
 impl Lane {
     fn backlog(&self) -> f64 {
-        count(self.waiting.len()) / self.weight
+        to_f64(self.waiting.len()) / self.weight
     }
 }
 
-/// Rank, then client account.
-type Key = (u8, Arc<str>);
+/// Rank and client account of a lane.
+type LaneKey = (u8, Arc<str>);
 
-/// What one client account could run next at one place in the order.
+/// The next request of one client account at one position in the rank order.
 struct Candidate<'a> {
-    tag: f64,
-    instant: Instant,
-    key: &'a Key,
+    virtual_finish: f64,
+    due_at: Instant,
+    key: &'a LaneKey,
     index: usize,
 }
 
 impl Candidate<'_> {
-    /// Takes in another lane of the account.
-    fn join(&mut self, other: &Self) {
-        self.tag = self.tag.max(other.tag);
-        if other.instant < self.instant {
-            (self.instant, self.key, self.index) = (other.instant, other.key, other.index);
+    /// Merges the candidate of another lane of the same account.
+    fn merge(&mut self, other: &Self) {
+        self.virtual_finish = self.virtual_finish.max(other.virtual_finish);
+        if other.due_at < self.due_at {
+            (self.due_at, self.key, self.index) = (other.due_at, other.key, other.index);
         }
     }
 }
 
-/// Requests that wait.
+/// Weighted fair queue of requests, ordered by rank.
 #[derive(Debug, Default)]
 pub struct Queue {
-    lanes: BTreeMap<Key, Lane>,
+    lanes: BTreeMap<LaneKey, Lane>,
     length: usize,
     virtual_time: f64,
 }
 
 impl Queue {
-    /// Requests that wait.
+    /// Number of queued requests.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether none waits.
+    /// Returns whether no request is queued.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// All that wait, in no particular order.
+    /// Iterates over all queued requests, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Arrival> {
         self.lanes.values().flat_map(|lane| &lane.waiting)
     }
@@ -82,23 +82,24 @@
         self.length += 1;
     }
 
-    /// Takes the request whose turn it is; `order` is the order among ranks, `needed` the time
-    /// that a request needs, and `may_begin` tells whether one that needs so much may begin now.
+    /// Removes and returns the request whose turn it is. `order` maps a priority to its position
+    /// among the ranks, `expected_time` returns the expected service time of a request, and
+    /// `may_begin` returns whether a request with that service time may start now.
     pub fn pop(
         &mut self,
         now: Instant,
         order: impl Fn(u8) -> u8,
-        needed: impl Fn(&Arrival) -> Duration,
+        expected_time: impl Fn(&Arrival) -> Duration,
         may_begin: impl Fn(Duration) -> bool,
     ) -> Option<Arrival> {
-        let open = |arrival: &Arrival| may_begin(needed(arrival));
-        let timely = |arrival: &Arrival| now + needed(arrival) <= arrival.target;
+        let may_start = |arrival: &Arrival| may_begin(expected_time(arrival));
+        let meets_target = |arrival: &Arrival| now + expected_time(arrival) <= arrival.target;
         let (key, index) = self
             .first(order, |arrival| {
-                (open(arrival) && timely(arrival)).then_some(arrival.target)
+                (may_start(arrival) && meets_target(arrival)).then_some(arrival.target)
             })
             .or_else(|| {
-                let deadline = |arrival: &Arrival| open(arrival).then_some(arrival.deadline);
+                let deadline = |arrival: &Arrival| may_start(arrival).then_some(arrival.deadline);
                 self.first(|priority| priority, deadline)
             })?;
         let lane = self.lanes.get_mut(&key)?;
@@ -109,67 +110,73 @@
         Some(arrival)
     }
 
-    /// The request that goes first: of the first rank by the order, of the client account that
-    /// was served least by its weight, the one with the earliest instant.
+    /// Finds the request that goes first: in the first rank of `order`, the client account that
+    /// has been served least relative to its weight, and of that account the request that is due
+    /// earliest. Requests for which `due_at` returns `None` are skipped.
     ///
-    /// An account may have several lanes of one place in the order; between its own requests
-    /// the instant decides alone.
+    /// An account may have several lanes at the same position in the order. Among the account's
+    /// own requests only the due time decides.
     fn first(
         &self,
         order: impl Fn(u8) -> u8,
-        instant: impl Fn(&Arrival) -> Option<Instant>,
-    ) -> Option<(Key, usize)> {
+        due_at: impl Fn(&Arrival) -> Option<Instant>,
+    ) -> Option<(LaneKey, usize)> {
         let mut accounts: BTreeMap<(u8, &Arc<str>), Candidate<'_>> = BTreeMap::new();
         for (key, lane) in &self.lanes {
-            let instants = lane.waiting.iter().enumerate();
-            let instants = instants.filter_map(|(i, arrival)| Some((instant(arrival)?, i)));
-            let Some((instant, index)) = instants.min() else {
+            let due_times = lane.waiting.iter().enumerate();
+            let due_times = due_times.filter_map(|(i, arrival)| Some((due_at(arrival)?, i)));
+            let Some((due_at, index)) = due_times.min() else {
                 continue;
             };
-            let found = Candidate {
-                tag: lane.tag,
-                instant,
+            let lane_candidate = Candidate {
+                virtual_finish: lane.virtual_finish,
+                due_at,
                 key,
                 index,
             };
             accounts
                 .entry((order(key.0), &key.1))
-                .and_modify(|candidate| candidate.join(&found))
-                .or_insert(found);
+                .and_modify(|candidate| candidate.merge(&lane_candidate))
+                .or_insert(lane_candidate);
         }
         let (rank, _) = *accounts.keys().next()?;
         let of_rank = accounts.iter().take_while(|((other, _), _)| *other == rank);
-        let first = of_rank.min_by(|(_, a), (_, b)| a.tag.total_cmp(&b.tag));
+        let first = of_rank.min_by(|(_, a), (_, b)| a.virtual_finish.total_cmp(&b.virtual_finish));
         first.map(|(_, candidate)| (candidate.key.clone(), candidate.index))
     }
 
-    /// Takes out one request; false if it does not wait.
+    /// Removes one request; returns false if it isn't queued.
     pub fn remove(&mut self, id: Id) -> bool {
         let before = self.length;
         self.retain(|arrival| arrival.id != id, |_| {});
         self.length < before
     }
 
-    /// Takes out all that do not hold a condition.
-    pub fn retain(&mut self, holds: impl Fn(&Arrival) -> bool, mut taken: impl FnMut(&Arrival)) {
+    /// Removes all requests for which `keep` returns false, and calls `on_removed` with each.
+    pub fn retain(
+        &mut self,
+        keep: impl Fn(&Arrival) -> bool,
+        mut on_removed: impl FnMut(&Arrival),
+    ) {
         for lane in self.lanes.values_mut() {
             let before = lane.waiting.len();
             lane.waiting.retain(|arrival| {
-                let holds = holds(arrival);
-                if !holds {
-                    taken(arrival);
+                let keep = keep(arrival);
+                if !keep {
+                    on_removed(arrival);
                 }
-                holds
+                keep
             });
             self.length -= before - lane.waiting.len();
         }
     }
 
-    /// Turns before one more request of this rank and client account gets its own, among those
-    /// that are counted.
+    /// Estimates how many queued requests run before a new request of this rank and client
+    /// account. Only requests for which `counts` returns true are included.
     ///
-    /// All of ranks that come before it in the order go first. Between its own requests each
-    /// other account with a backlog gets its turns, but no more of them than it has waiting.
+    /// All requests of ranks earlier in the order go first. Between two requests of this account,
+    /// every other account of the same rank gets the turns that its weight gives it, but no more
+    /// than it has queued.
     #[must_use]
     pub fn turns_before(
         &self,
@@ -179,45 +186,46 @@
         counts: impl Fn(&Arrival) -> bool,
     ) -> f64 {
         let waiting = |lane: &Lane| lane.waiting.iter().filter(|other| counts(other)).count();
-        let key = key_of(arrival);
+        let key = lane_key(arrival);
         let own = self.lanes.get(&key).map_or(0, waiting);
-        let rounds = count(own + 1) / weight;
+        let rounds = to_f64(own + 1) / weight;
         let rank = order(arrival.priority);
         let others = self.lanes.iter().filter(|(other, _)| **other != key);
         let others = others.map(|(other, lane)| match order(other.0).cmp(&rank) {
-            Ordering::Less => count(waiting(lane)),
-            Ordering::Equal => count(waiting(lane)).min(rounds * lane.weight),
+            Ordering::Less => to_f64(waiting(lane)),
+            Ordering::Equal => to_f64(waiting(lane)).min(rounds * lane.weight),
             Ordering::Greater => 0.0,
         });
-        count(own) + others.sum::<f64>()
+        to_f64(own) + others.sum::<f64>()
     }
 
-    /// Makes room in a full queue: takes out the newest of the longest backlog of the least
-    /// urgent rank, if that is less urgent or longer than the newcomer's own.
+    /// Makes room in a full queue: removes the newest request of the longest backlog in the least
+    /// urgent rank, if that rank is less urgent than the new request's or that backlog is longer
+    /// than the one of its account.
     ///
-    /// Failure: one client account sends ten times its share, or work of little urgency
-    /// fills the queue. Symptom: small accounts and urgent requests are refused. Who fills
-    /// the queue pays instead, so a large account waits behind itself.
+    /// Failure: one client account sends ten times its share, or less urgent requests fill the
+    /// queue. Symptom: requests of small accounts and urgent requests are refused. Removing from
+    /// the longest backlog makes the account that fills the queue bear the refusals.
     pub fn displace(
         &mut self,
         newcomer: &Arrival,
         weight: f64,
         order: impl Fn(u8) -> u8,
     ) -> Option<Arrival> {
-        let own = self.lanes.get(&key_of(newcomer));
-        let own_backlog = count(own.map_or(0, |lane| lane.waiting.len()) + 1) / weight;
-        let filled = self.lanes.iter_mut();
-        let filled = filled.filter(|(_, lane)| !lane.waiting.is_empty());
-        let (key, longest) = filled.max_by(|(a, left), (b, right)| {
+        let own = self.lanes.get(&lane_key(newcomer));
+        let own_backlog = to_f64(own.map_or(0, |lane| lane.waiting.len()) + 1) / weight;
+        let occupied = self.lanes.iter_mut();
+        let occupied = occupied.filter(|(_, lane)| !lane.waiting.is_empty());
+        let (key, longest) = occupied.max_by(|(a, left), (b, right)| {
             let ranks = order(a.0).cmp(&order(b.0));
             ranks.then(left.backlog().total_cmp(&right.backlog()))
         })?;
-        let pays = match order(key.0).cmp(&order(newcomer.priority)) {
+        let may_displace = match order(key.0).cmp(&order(newcomer.priority)) {
             Ordering::Greater => true,
             Ordering::Equal => longest.backlog() > own_backlog,
             Ordering::Less => false,
         };
-        if !pays {
+        if !may_displace {
             return None;
         }
         let displaced = longest.waiting.pop()?;
@@ -225,37 +233,38 @@
         Some(displaced)
     }
 
-    /// Counts one turn against a lane, and forgets lanes that are even.
+    /// Charges one turn to a lane. Removes empty lanes that have caught up with the virtual time,
+    /// as they hold no information.
     pub fn charge(&mut self, arrival: &Arrival, weight: f64) {
         let lane = self.lane(arrival, weight);
-        let started = lane.tag;
-        lane.tag += 1.0 / weight;
-        self.virtual_time = self.virtual_time.max(started);
-        let even = self.virtual_time;
+        let virtual_start = lane.virtual_finish;
+        lane.virtual_finish += 1.0 / weight;
+        self.virtual_time = self.virtual_time.max(virtual_start);
+        let virtual_time = self.virtual_time;
         self.lanes
-            .retain(|_, lane| !lane.waiting.is_empty() || lane.tag > even);
+            .retain(|_, lane| !lane.waiting.is_empty() || lane.virtual_finish > virtual_time);
     }
 
     fn lane(&mut self, arrival: &Arrival, weight: f64) -> &mut Lane {
         let virtual_time = self.virtual_time;
-        let lane = self.lanes.entry(key_of(arrival)).or_insert_with(|| Lane {
+        let lane = self.lanes.entry(lane_key(arrival)).or_insert_with(|| Lane {
             weight,
-            tag: virtual_time,
+            virtual_finish: virtual_time,
             waiting: Vec::new(),
         });
         lane.weight = weight;
         if lane.waiting.is_empty() {
-            lane.tag = lane.tag.max(virtual_time);
+            lane.virtual_finish = lane.virtual_finish.max(virtual_time);
         }
         lane
     }
 }
 
-fn key_of(arrival: &Arrival) -> Key {
+fn lane_key(arrival: &Arrival) -> LaneKey {
     (arrival.priority, Arc::clone(&arrival.client_account))
 }
 
 #[allow(clippy::cast_precision_loss)]
-const fn count(number: usize) -> f64 {
+const fn to_f64(number: usize) -> f64 {
     number as f64
 }
--- a/crates/core/tests/queue.rs
+++ b/crates/core/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The order of waiting, replayed with the load it exists for.
+//! Tests of the queue order, including a replay of an overloaded upstream.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,14 +10,14 @@
 use rand_chacha::ChaCha8Rng;
 
 const SLOTS: usize = 9;
-const LENGTH: Duration = Duration::from_secs(6);
+const REPLAY_DURATION: Duration = Duration::from_secs(6);
 
-/// A kind of request: rank, arrivals a second, work, target and deadline.
+/// Kind of request: rank, arrivals per second, service time, target latency and deadline.
 #[derive(Clone, Copy)]
 struct Kind {
     priority: u8,
     per_second: f64,
-    work: Duration,
+    service_time: Duration,
     target: Duration,
     deadline: Duration,
 }
@@ -25,64 +25,75 @@
 const URGENT: Kind = Kind {
     priority: 0,
     per_second: 30.0,
-    work: Duration::from_millis(160),
+    service_time: Duration::from_millis(160),
     target: Duration::from_millis(400),
     deadline: Duration::from_millis(1200),
 };
 const COMMON: Kind = Kind {
     priority: 1,
     per_second: 50.0,
-    work: Duration::from_millis(120),
+    service_time: Duration::from_millis(120),
     target: Duration::from_millis(400),
     deadline: Duration::from_secs(1),
 };
 
-/// Takes the next request to run.
-type Take = fn(&mut Queue, Instant, &Needed) -> Option<Arrival>;
-type Needed = BTreeMap<u8, Duration>;
+/// Removes the next request to run from the queue.
+type PopFn = fn(&mut Queue, Instant, &ServiceTimes) -> Option<Arrival>;
+type ServiceTimes = BTreeMap<u8, Duration>;
 
-/// The order of ranks while none has fallen behind.
+/// Order of the ranks while none is underserved.
 fn by_rank(priority: u8) -> u8 {
     priority
 }
 
-fn by_rank_and_target(queue: &mut Queue, now: Instant, needed: &Needed) -> Option<Arrival> {
-    queue.pop(now, by_rank, |arrival| needed[&arrival.priority], |_| true)
+fn by_rank_and_target(
+    queue: &mut Queue,
+    now: Instant,
+    service_times: &ServiceTimes,
+) -> Option<Arrival> {
+    queue.pop(
+        now,
+        by_rank,
+        |arrival| service_times[&arrival.priority],
+        |_| true,
+    )
 }
 
-fn first_come(queue: &mut Queue, _: Instant, _: &Needed) -> Option<Arrival> {
+fn by_arrival(queue: &mut Queue, _: Instant, _: &ServiceTimes) -> Option<Arrival> {
     let first = queue.iter().min_by_key(|arrival| arrival.id)?.clone();
     queue.remove(first.id);
     Some(first)
 }
 
-/// Share of the requests of each rank that were answered within their target, with 1.3 times
-/// the load that the slots can carry.
-fn replay(take: Take) -> BTreeMap<u8, f64> {
+/// Returns the share of the requests of each rank that were answered within their target, at 1.2
+/// times the load that the slots can take.
+fn replay(pop: PopFn) -> BTreeMap<u8, f64> {
     let start = Instant::now();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut arrivals: Vec<(Instant, Kind)> = Vec::new();
     for kind in [URGENT, COMMON] {
         let mut at = start;
-        while at < start + LENGTH {
+        while at < start + REPLAY_DURATION {
             let gap = -(1.0 - rng.random::<f64>()).ln() / kind.per_second;
             at += Duration::from_secs_f64(gap);
             arrivals.push((at, kind));
         }
     }
     arrivals.sort_by_key(|(at, _)| *at);
-    let needed: Needed = [URGENT, COMMON].map(|k| (k.priority, k.work)).into();
+    let service_times: ServiceTimes = [URGENT, COMMON]
+        .map(|kind| (kind.priority, kind.service_time))
+        .into();
     let mut queue = Queue::default();
     let mut free_at = [start; SLOTS];
-    let mut asked: BTreeMap<u8, f64> = BTreeMap::new();
+    let mut requests: BTreeMap<u8, f64> = BTreeMap::new();
     let mut in_time: BTreeMap<u8, f64> = BTreeMap::new();
     let mut next = 0;
     while next < arrivals.len() || !queue.is_empty() {
         let slot = (0..SLOTS).min_by_key(|slot| free_at[*slot]).expect("slots");
-        let arrives = arrivals.get(next).map(|(at, _)| *at);
-        if arrives.is_some_and(|at| queue.is_empty() || at <= free_at[slot]) {
+        let next_arrival = arrivals.get(next).map(|(at, _)| *at);
+        if next_arrival.is_some_and(|at| queue.is_empty() || at <= free_at[slot]) {
             let (at, kind) = arrivals[next];
-            *asked.entry(kind.priority).or_default() += 1.0;
+            *requests.entry(kind.priority).or_default() += 1.0;
             queue.push(arrival(next, at, kind), 1.0);
             next += 1;
             free_at[slot] = free_at[slot].max(at);
@@ -90,20 +101,20 @@
         }
         let now = free_at[slot];
         queue.retain(
-            |waits| now + needed[&waits.priority] <= waits.deadline,
+            |request| now + service_times[&request.priority] <= request.deadline,
             |_| {},
         );
-        let Some(runs) = take(&mut queue, now, &needed) else {
+        let Some(request) = pop(&mut queue, now, &service_times) else {
             continue;
         };
-        free_at[slot] = now + needed[&runs.priority];
-        if free_at[slot] <= runs.target {
-            *in_time.entry(runs.priority).or_default() += 1.0;
+        free_at[slot] = now + service_times[&request.priority];
+        if free_at[slot] <= request.target {
+            *in_time.entry(request.priority).or_default() += 1.0;
         }
     }
-    asked
+    requests
         .iter()
-        .map(|(rank, asked)| (*rank, in_time.get(rank).unwrap_or(&0.0) / asked))
+        .map(|(rank, requests)| (*rank, in_time.get(rank).unwrap_or(&0.0) / requests))
         .collect()
 }
 
@@ -119,25 +130,24 @@
     }
 }
 
-/// Callers at 1.2 times the load that the slots carry. In order of arrival nearly everybody
-/// is late; with those first that can still be in time, all urgent requests are, and most of
-/// the others.
+/// At 1.2 times the load that the slots can take, a first-in, first-out queue makes nearly all
+/// requests late. If requests that can still meet their target go first, nearly all urgent requests
+/// and most of the others meet it.
 #[test]
-fn pop_under_overload_serves_in_time_rather_than_all_late() {
-    let first_come = replay(first_come);
+fn pop_under_overload_meets_more_targets_than_order_of_arrival() {
+    let by_arrival = replay(by_arrival);
     let ordered = replay(by_rank_and_target);
     assert!(
-        first_come[&0] < 0.3 && first_come[&1] < 0.3,
-        "{first_come:?}"
+        by_arrival[&0] < 0.3 && by_arrival[&1] < 0.3,
+        "{by_arrival:?}"
     );
     assert!(ordered[&0] > 0.95, "{ordered:?}");
     assert!(ordered[&1] > 0.5, "{ordered:?}");
 }
 
-/// Only requests that will miss their target are left: they go by rank, the one that must be
-/// given up first before the others.
+/// Requests that will all miss their target are ordered by rank, then by deadline.
 #[test]
-fn pop_takes_late_requests_by_rank_and_deadline() {
+fn pop_orders_late_requests_by_rank_and_deadline() {
     let start = Instant::now();
     let mut queue = Queue::default();
     let late = |number: usize, kind: Kind, deadline: u64| Arrival {
@@ -155,9 +165,9 @@
     assert_eq!(order, [3, 2, 1]);
 }
 
-/// The queue is full: a request of less urgency gives way to one of more, not the reverse.
+/// In a full queue an urgent request displaces a less urgent one, but not the reverse.
 #[test]
-fn displace_never_takes_the_more_urgent() {
+fn displace_never_removes_a_more_urgent_request() {
     let start = Instant::now();
     let mut queue = Queue::default();
     queue.push(arrival(1, start, URGENT), 1.0);
