--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -1,39 +1,39 @@
-//! How many lines about requests may be logged in a second.
+//! Rate limit for log lines about requests.
 //!
-//! Load pattern: when everything fails, every request has something to tell, and telling it
-//! all would take the processor time that serving needs. What goes beyond the quota is
-//! counted, and the count is told with the next line.
+//! Load pattern: when everything fails, every request has something to log, and logging it all
+//! would use the CPU time that serving requests needs. Lines beyond the quota are dropped and
+//! counted, and the count is reported with the next line that fits.
 
 use std::time::{Duration, Instant};
 
-const SECOND: Duration = Duration::from_secs(1);
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// Lines of one second.
+/// Log lines used and dropped in the current one-second window.
 #[derive(Debug)]
 pub struct Quota {
     per_second: u32,
-    ends_at: Instant,
+    window_ends_at: Instant,
     used: u32,
     dropped: u64,
 }
 
 impl Quota {
-    /// A full quota.
+    /// Creates an unused quota whose first window starts at `now`.
     #[must_use]
     pub fn new(per_second: u32, now: Instant) -> Self {
         Self {
             per_second,
-            ends_at: now + SECOND,
+            window_ends_at: now + WINDOW,
             used: 0,
             dropped: 0,
         }
     }
 
-    /// Asks for some lines at once; `None` if they do not fit, else how many were dropped
-    /// since the last that did.
+    /// Takes `lines` from the quota as a whole. Returns `None` if they don't fit, otherwise the
+    /// number of lines dropped since the last call that succeeded.
     pub fn take(&mut self, now: Instant, lines: u32) -> Option<u64> {
-        if now >= self.ends_at {
-            self.ends_at = now + SECOND;
+        if now >= self.window_ends_at {
+            self.window_ends_at = now + WINDOW;
             self.used = 0;
         }
         if self.used.saturating_add(lines) > self.per_second {
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -1,13 +1,13 @@
-//! Lines a second, and what is told of those beyond.
+//! Tests of the rate limit for log lines.
 
 use std::time::{Duration, Instant};
 
 use mintridge_core::quota::Quota;
 
-/// Everything fails at once: lines stay within the quota, and the next second tells how many
-/// were left out.
+/// When everything fails at once, lines stay within the quota, and the next second reports how many
+/// were dropped.
 #[test]
-fn take_counts_what_goes_beyond() {
+fn take_counts_dropped_lines() {
     let start = Instant::now();
     let mut quota = Quota::new(10, start);
     let granted = (0..100).filter(|_| quota.take(start, 2).is_some()).count();
