--- a/crates/core/src/configs/admission.rs
+++ b/crates/core/src/configs/admission.rs
@@ -1,4 +1,4 @@
-//! Settings of admission beside the upstream.
+//! Settings of admission control in front of the upstream.
 
 use std::time::Duration;
 
@@ -8,39 +8,39 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Share of the upstream's slots that are used at most. Many upstreams slow down before
-    /// all their slots are taken, so that the last few cost more than they carry.
+    /// Maximum share of the upstream's slots that is used. Many upstreams slow down before all
+    /// their slots are taken, so using the last few slots costs more capacity than it adds.
     pub slots_share: f64,
-    /// How long a slow phase of the upstream's host is expected to go on: phases of some hundred
-    /// milliseconds are met when part of them is over.
+    /// Expected remaining duration of a slow phase of the upstream's host. Phases last a few
+    /// hundred milliseconds, and part of a phase has passed when a request runs into it.
     #[serde(with = "humantime_serde")]
     pub slow_phase: Duration,
-    /// What the upstream told of its host's speed is taken as present for this long; after
-    /// that it is asked before a request begins, as far as the budget for measuring allows.
+    /// How long a report of the host's pace counts as current. After that the upstream is asked
+    /// again before a request starts, as far as the probe budget allows.
     #[serde(with = "humantime_serde")]
     pub pace_fresh: Duration,
-    /// A rank whose requests begin in time less than this share as often as those of all ranks
-    /// stands beside the most urgent until it has caught up; 0 leaves the least urgent what is left
-    /// over, and the higher it is, the more the urgent ones pay for them.
+    /// Minimum ratio of the share of a rank's requests that start in time to that of all ranks. A
+    /// rank below it is treated as most urgent until it has caught up. At 0 the least urgent rank
+    /// gets only the remaining capacity; higher values cost the urgent ranks more capacity.
     pub rank_share_least: f64,
-    /// Requests that may wait, per slot of the upstream.
+    /// Maximum number of queued requests per slot of the upstream.
     pub queue_per_slot: f64,
-    /// Requests that may wait whatever the number of slots.
+    /// Number of requests that may be queued regardless of the number of slots.
     pub queue_least: usize,
-    /// Assumed time of a request in the upstream before the first answer.
+    /// Assumed service time of a request before the first answer.
     #[serde(with = "humantime_serde")]
     pub service_time_initial: Duration,
-    /// Weight of one answer in the mean time of a request, 0 to 1. At 0.2 the last five answers
-    /// decide, and one that met a slow phase made the next requests look too long for their
-    /// targets.
+    /// Weight of one answer in the mean service time, from 0 to 1. At 0.2 the last five answers
+    /// dominate the mean, and a single one from a slow phase made the following requests appear
+    /// too long for their targets.
     pub service_time_share: f64,
-    /// The limit on concurrency never falls below this.
+    /// Minimum concurrency limit, in requests.
     pub limit_least: f64,
-    /// Factor applied to the limit when the upstream sheds load.
+    /// Factor by which the limit is multiplied when the upstream sheds load.
     pub limit_decrease: f64,
-    /// Added to the limit over one limit's worth of good answers.
+    /// Requests added to the limit after as many successful answers as the limit.
     pub limit_increase: f64,
-    /// Least time told to a refused caller; HTTP carries whole seconds.
+    /// Minimum retry delay sent to a refused caller; HTTP can only express whole seconds.
     #[serde(with = "humantime_serde")]
     pub retry_after_least: Duration,
 }
--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -1,4 +1,4 @@
-//! The load of one upstream, counted by the node beside it.
+//! Load of one upstream, as counted by the node beside it or reported by the upstream.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,42 +6,42 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Counted load, carried on every answer and refusal of the node that counted it.
+/// Load counted by a node, which it attaches to every answer and refusal that it sends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Requests handed to the upstream and not yet answered.
+    /// Requests sent to the upstream and not yet finished.
     pub in_flight: u32,
     /// Requests waiting for a slot.
     pub queued: u32,
-    /// Requests the upstream may have at once.
+    /// Maximum number of concurrent requests in the upstream.
     pub limit: u32,
-    /// Mean time of a request in the upstream, in microseconds.
+    /// Mean service time of a request in the upstream, in microseconds.
     pub service_micros: u32,
-    /// How long work takes on the upstream's host at this moment, in percent of the usual;
-    /// 0 if it is not known.
+    /// Current service time on the upstream's host, in percent of the usual one; 0 if unknown.
     pub slowness_percent: u32,
 }
 
-/// Extra time that one request takes on a host that is slow at this moment.
+/// Extra time that one request takes on a host that is currently slow, either because it starts
+/// now or because it waits for the end of the slow phase, whichever costs less.
 ///
-/// Load pattern: neighbours on the same machine slow a host down several times, for a few
-/// hundred milliseconds, again and again. Work that begins in such a phase is slow to its end,
-/// whenever the phase ends; or it waits for the end of the phase. `phase` is how long a slow
-/// phase is expected to go on.
+/// Load pattern: other tenants of the same machine repeatedly slow a host down by a factor of
+/// several, for a few hundred milliseconds. A request that starts in such a phase stays slow until
+/// it finishes, even if the phase ends earlier. `phase` is how much longer the slow phase is
+/// expected to last.
 #[must_use]
 pub fn slow_penalty(slowness_percent: u32, service: Duration, phase: Duration) -> Duration {
     slow_loss(slowness_percent, service).min(phase)
 }
 
-/// Extra time that work takes if it begins on a host that is slow at this moment.
+/// Extra time that a request takes if it starts on a host that is currently slow.
 #[must_use]
 pub fn slow_loss(slowness_percent: u32, service: Duration) -> Duration {
     service.mul_f64(f64::from(slowness_percent.saturating_sub(100)) / 100.0)
 }
 
-/// A report does not have the form written by [`fmt::Display`].
+/// Error for text that isn't a report as written by [`fmt::Display`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a load report")]
+#[error("load report is malformed")]
 pub struct Malformed;
 
 impl fmt::Display for Report {
@@ -58,8 +58,8 @@
     type Err = Malformed;
 
     fn from_str(text: &str) -> Result<Self, Malformed> {
-        let mut figures = text.split(',').map(|figure| figure.parse().ok());
-        let mut next = || figures.next().flatten().ok_or(Malformed);
+        let mut numbers = text.split(',').map(|number| number.parse().ok());
+        let mut next = || numbers.next().flatten().ok_or(Malformed);
         Ok(Self {
             in_flight: next()?,
             queued: next()?,
@@ -70,17 +70,17 @@
     }
 }
 
-/// Load as the upstream itself tells it.
+/// Load as reported by the upstream itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Upstream {
-    /// Requests that it works on.
+    /// Requests that the upstream is processing.
     pub running: u32,
-    /// Requests that wait in it.
+    /// Requests that are queued in the upstream.
     pub waiting: u32,
-    /// Requests it works on at most.
+    /// Maximum number of requests that the upstream processes concurrently.
     pub slots: u32,
-    /// How long work takes on its host at this moment, in percent of the usual; `None` if
-    /// it does not tell.
+    /// Current service time on its host, in percent of the usual one; `None` if the upstream
+    /// doesn't report it.
     pub slowness_percent: Option<u32>,
 }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -1,27 +1,28 @@
-//! What the core knows of one request.
+//! Properties of a request that admission control uses.
 
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Number of a request within one node, never used twice by one process.
+/// Identifier of a request within one node, never reused by the same process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id(pub u64);
 
-/// A request as it reaches the node beside the upstream.
+/// A request that has arrived at the node beside the upstream.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Number given by this node.
+    /// Identifier assigned by this node.
     pub id: Id,
-    /// On whose behalf the request runs; fairness is between client accounts.
+    /// Client account that the request belongs to; queueing is fair between client accounts.
     pub client_account: Arc<str>,
-    /// The caller's answer is worth nothing after this instant.
+    /// An answer after this instant is worthless to the caller.
     pub deadline: Instant,
-    /// The caller's answer is worth less after this instant; never later than the deadline.
+    /// An answer after this instant is worth less to the caller; never later than the deadline.
     pub target: Instant,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
-    /// Requests of one route do the same work.
+    /// Route of the request; requests of one route do the same work.
     pub route: Arc<str>,
-    /// Whether to refuse it if it would miss its target, because another host may not.
+    /// Whether to refuse the request if it would miss its target here, because another host may
+    /// still meet it.
     pub only_in_time: bool,
 }
--- a/crates/core/tests/load.rs
+++ b/crates/core/tests/load.rs
@@ -1,4 +1,4 @@
-//! Load reports on the wire, and what a slow phase of a host costs.
+//! Tests of the wire format of load reports, and of the extra time of a slow phase.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use rstest::rstest;
 
 #[test]
-fn report_is_read_as_written() {
+fn report_round_trips() {
     let report = Report {
         in_flight: 3,
         queued: 1,
@@ -21,11 +21,11 @@
 #[case::empty("")]
 #[case::short("1,2,3,4")]
 #[case::text("a,b,c,d,e")]
-fn report_refuses_other_text(#[case] text: &str) {
+fn report_rejects_malformed_text(#[case] text: &str) {
     assert!(text.parse::<Report>().is_err());
 }
 
-/// Work that begins on a slow host is slow to its end; long work waits for the end of the phase.
+/// A short request runs slowly on a slow host; a long one waits for the end of the slow phase.
 #[rstest]
 #[case::usual(100, 120, 0)]
 #[case::unknown(0, 120, 0)]
