--- a/crates/core/src/configs/placement.rs
+++ b/crates/core/src/configs/placement.rs
@@ -1,45 +1,48 @@
-//! Settings of the choice of an upstream.
+//! Settings for choosing an upstream.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Settings of [`crate::placement`].
+/// Settings for [`crate::placement`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// What leaving the zone costs, as time: the round trip between availability zones, and
-    /// as much more as the bytes between them are worth.
+    /// Cost of leaving the availability zone, as time: the round trip between zones, plus the value
+    /// of the traffic between them.
     #[serde(with = "humantime_serde")]
     pub zone_cost: Duration,
-    /// Assumed time of a request in an upstream that has not reported.
+    /// Assumed time of a request in an upstream that has not reported its load yet.
     #[serde(with = "humantime_serde")]
     pub service_time_initial: Duration,
-    /// Weight of an upstream's filling while it has free slots, in service times.
+    /// Cost of an upstream whose slots are all taken over that of an empty one, in service times;
+    /// it grows in proportion to the load.
     pub spread: f64,
-    /// A host is taken as a straggler when its service time exceeds the median of its
-    /// peers by this factor.
+    /// A host counts as a straggler when its service time exceeds the median of its peers by this
+    /// factor.
     pub straggler_factor: f64,
-    /// The suspicion of a straggler fades with the age of its last report at this rate.
+    /// Time constant at which a straggler's reported service time decays to the median with the age
+    /// of the report.
     #[serde(with = "humantime_serde")]
     pub straggler_fades: Duration,
-    /// How long a slow phase of an upstream's host is expected to go on.
+    /// Expected remaining duration of a slow phase of an upstream's host.
     #[serde(with = "humantime_serde")]
     pub slow_phase: Duration,
-    /// Share of the time that any host is expected to be slow, 0 to 1.
+    /// Expected share of the time that a host is in a slow phase, 0 to 1.
     pub slow_share: f64,
-    /// How long work is expected to take on a slow host, in percent of the usual.
+    /// Expected time of work on a slow host, in percent of the usual time.
     pub slow_percent: u32,
-    /// A host that joined takes its full share only after this long.
+    /// Time over which the share of a host that has just joined grows to its full share.
     #[serde(with = "humantime_serde")]
     pub ramp: Duration,
-    /// How long a host that refused or broke is taken only when all others are worse.
+    /// How long a host that refused a request or lost its link is chosen only if all others are
+    /// worse.
     #[serde(with = "humantime_serde")]
     pub avoid_for: Duration,
-    /// Candidates compared for one request, drawn at random when there are more.
+    /// Number of candidates compared for one request, sampled at random when there are more.
     pub choices: usize,
-    /// So many of them stand outside the own availability zone, if there are; more where the
-    /// zone has too few.
+    /// How many of the compared candidates are taken from outside the node's availability zone, as
+    /// far as there are any; more if that zone has too few.
     pub choices_outside: usize,
 }
 
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,10 +1,10 @@
-//! Choice of an upstream for one request, by the node the caller spoke to.
+//! Chooses an upstream for one request, at the node that received it from the caller.
 //!
-//! Every upstream's load is counted by the node beside it and carried on answers that
-//! are sent anyway. Such a report is stale on arrival. What it says splits in two: this
-//! node's own requests, which it knows exactly at any moment, and those of others, which
-//! turn over within one service time. So the others' part is believed while it is fresh
-//! and relaxes to the mean of all candidates as it ages; the own part is never guessed.
+//! The load of every upstream is counted by the node beside it and attached to answers that are
+//! sent anyway, so a load report is stale on arrival. The reported load has two parts: this node's
+//! own requests, which it counts exactly at any moment, and those of other nodes, which turn over
+//! within one service time. The other nodes' part is therefore trusted while the report is fresh
+//! and decays to the mean of the compared candidates as it ages; its own part is never estimated.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,47 +17,47 @@
 use crate::configs::placement::Settings;
 use crate::load::{Report, slow_penalty};
 
-/// Chance that a host which has just joined is compared at all.
-const RAMP_LEAST: f64 = 0.05;
-/// A node hears of the hosts that are there within this time after the first of them: by the
-/// exchange in which it joins, the table that follows, and a few rounds.
-const LEARNS_FOR: Duration = Duration::from_secs(2);
-/// Cost added to a host to be avoided, in seconds: above any real wait.
-const AVOIDED_SECONDS: f64 = 60.0;
+/// Minimum chance that a host which has just joined is among the compared candidates.
+const MIN_RAMP_CHANCE: f64 = 0.05;
+/// A starting node learns of all existing hosts within this time after the first of them: through
+/// the exchange in which it joins, the member table that follows, and a few gossip rounds.
+const STARTUP_WINDOW: Duration = Duration::from_secs(2);
+/// Cost added to a host that is avoided, in seconds; higher than any real wait.
+const AVOIDANCE_PENALTY_SECONDS: f64 = 60.0;
 
-/// An upstream that may be chosen.
+/// An upstream that can be chosen for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Upstream {
-    /// The host it runs on.
+    /// Host that the upstream runs on.
     pub host: Arc<str>,
-    /// The service it offers.
+    /// Service that the upstream offers.
     pub service: Arc<str>,
-    /// Requests it may have at once, as announced.
+    /// Maximum number of concurrent requests, as announced by the upstream.
     pub slots: u32,
-    /// Whether it stands in this node's own availability zone.
+    /// Whether the upstream is in this node's own availability zone.
     pub same_zone: bool,
 }
 
-/// How one attempt ended, as far as placement cares.
+/// How one attempt ended, as far as it matters for placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// The upstream answered.
     Answered,
-    /// The node beside it refused for want of room; its report tells how much.
+    /// The node beside the upstream refused for lack of capacity; its report carries the load.
     Full,
-    /// It refused for another cause, or the link broke: avoid it for a while.
+    /// The host refused for another reason, or the link broke: it is avoided for a while.
     Avoid,
-    /// It was given up before it ended, which says nothing of the host.
+    /// The attempt was abandoned before it ended, which says nothing about the host.
     GivenUp,
 }
 
-/// Candidates of each service, with what this node knows of them.
+/// Candidates of each service, with their last reported load and this node's own requests.
 #[derive(Debug)]
 pub struct Placement {
     settings: Settings,
     services: BTreeMap<Arc<str>, Vec<Candidate>>,
-    /// When the hosts that were there before this node are known; `None` until the first is.
-    learnt_at: Option<Instant>,
+    /// Hosts that first appear before this moment existed before this node; `None` until one has.
+    startup_ends_at: Option<Instant>,
     rng: ChaCha8Rng,
 }
 
@@ -66,49 +66,51 @@
     upstream: Upstream,
     report: Report,
     reported_at: Instant,
-    /// Whether it has ever told its load.
-    heard: bool,
-    others: f64,
+    /// Whether a load report has ever arrived.
+    has_reported: bool,
+    /// Requests of other nodes, by the last report.
+    others_load: f64,
+    /// Requests that this node has in progress there.
     outstanding: u32,
-    ramped_at: Instant,
+    ramp_ends_at: Instant,
     avoid_until: Option<Instant>,
 }
 
 impl Placement {
-    /// No candidates yet; `seed` makes every choice repeatable.
+    /// Starts without candidates; `seed` makes every choice reproducible.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
             settings,
             services: BTreeMap::new(),
-            learnt_at: None,
+            startup_ends_at: None,
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// Takes other settings.
+    /// Replaces the settings.
     pub fn set_settings(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// Takes the upstreams that may be chosen now; knowledge of those that stay is kept.
+    /// Replaces the set of candidates; those that stay keep their recorded load.
     pub fn update(&mut self, now: Instant, upstreams: &[Upstream]) {
         if upstreams.is_empty() {
             self.services.clear();
             return;
         }
-        let learnt_at = *self.learnt_at.get_or_insert(now + LEARNS_FOR);
+        let startup_ends_at = *self.startup_ends_at.get_or_insert(now + STARTUP_WINDOW);
         let mut old = std::mem::take(&mut self.services);
         for upstream in upstreams {
-            let known = old
+            let existing = old
                 .get_mut(&upstream.service)
-                .and_then(|candidates| take_known(candidates, &upstream.host));
-            let candidate = match known {
-                Some(known) => Candidate {
+                .and_then(|candidates| remove_candidate(candidates, &upstream.host));
+            let candidate = match existing {
+                Some(existing) => Candidate {
                     upstream: upstream.clone(),
-                    ..known
+                    ..existing
                 },
-                None => self.join(now, upstream, now < learnt_at),
+                None => self.new_candidate(now, upstream, now < startup_ends_at),
             };
             self.services
                 .entry(Arc::clone(&upstream.service))
@@ -119,26 +121,26 @@
 
     /// Whether any host offers the service.
     #[must_use]
-    pub fn knows(&self, service: &str) -> bool {
+    pub fn has_service(&self, service: &str) -> bool {
         self.services.contains_key(service)
     }
 
-    /// Whether there is a host that is not among `tried`.
+    /// Whether the service has a host that is not among `tried`.
     #[must_use]
     pub fn has_untried(&self, service: &str, tried: &[Arc<str>]) -> bool {
         let mut candidates = self.services.get(service).into_iter().flatten();
         candidates.any(|candidate| !tried.contains(&candidate.upstream.host))
     }
 
-    /// Chooses a host that is not among `tried`, and counts the request as placed.
+    /// Chooses a host that is not among `tried` and counts the request as placed there.
     pub fn pick(&mut self, now: Instant, service: &str, tried: &[Arc<str>]) -> Option<Arc<str>> {
         let candidates = self.services.get_mut(service)?;
-        let compared = draw(&self.settings, &mut self.rng, candidates, now, tried);
+        let compared = sample(&self.settings, &mut self.rng, candidates, now, tried);
         let peers = Peers::of(candidates, &compared);
         let mut best: Option<(usize, f64)> = None;
         for index in compared {
-            let cost = cost_of(&self.settings, &candidates[index], &peers, now);
-            if best.is_none_or(|(_, least)| cost < least) {
+            let cost = expected_cost(&self.settings, &candidates[index], &peers, now);
+            if best.is_none_or(|(_, best_cost)| cost < best_cost) {
                 best = Some((index, cost));
             }
         }
@@ -147,7 +149,7 @@
         Some(Arc::clone(&candidate.upstream.host))
     }
 
-    /// Counts a request as placed on this host, whatever others offer; false if it is unknown.
+    /// Counts a request as placed on the given host; returns false if the host is unknown.
     pub fn place_on(&mut self, service: &str, host: &str) -> bool {
         let Some(candidate) = self.candidate(service, host) else {
             return false;
@@ -156,13 +158,13 @@
         true
     }
 
-    /// Hosts of a service.
+    /// Returns the hosts of a service.
     pub fn hosts(&self, service: &str) -> impl Iterator<Item = &Arc<str>> {
         let candidates = self.services.get(service).into_iter().flatten();
         candidates.map(|candidate| &candidate.upstream.host)
     }
 
-    /// A request placed by [`Self::pick`] or [`Self::place_on`] ended.
+    /// Records the end of a request placed by [`Self::pick`] or [`Self::place_on`].
     pub fn finish(&mut self, now: Instant, service: &str, host: &str, ending: Ending) {
         let avoid_until = now + self.settings.avoid_for;
         let Some(candidate) = self.candidate(service, host) else {
@@ -176,27 +178,28 @@
         }
     }
 
-    /// A report arrived: what it counts beyond this node's own requests is others'.
+    /// Records a load report; requests beyond this node's own are attributed to other nodes.
     pub fn reported(&mut self, now: Instant, service: &str, host: &str, report: Report) {
         let Some(candidate) = self.candidate(service, host) else {
             return;
         };
         candidate.report = report;
         candidate.reported_at = now;
-        candidate.heard = true;
-        let counted = f64::from(report.in_flight + report.queued);
-        candidate.others = (counted - f64::from(candidate.outstanding)).max(0.0);
+        candidate.has_reported = true;
+        let total = f64::from(report.in_flight + report.queued);
+        candidate.others_load = (total - f64::from(candidate.outstanding)).max(0.0);
     }
 
-    /// What is known of an upstream and since when, for logs.
+    /// Returns the last load report of an upstream and when it arrived, for logs.
     #[must_use]
     pub fn known(&self, service: &str, host: &str) -> Option<(Report, Instant)> {
         let mut candidates = self.services.get(service)?.iter();
-        let known = candidates.find(|candidate| candidate.upstream.host.as_ref() == host)?;
-        Some((known.report, known.reported_at))
+        let candidate = candidates.find(|candidate| candidate.upstream.host.as_ref() == host)?;
+        Some((candidate.report, candidate.reported_at))
     }
 
-    /// The candidates of each service with their last report, for operators.
+    /// Returns the candidates of each service with their last load report and the number of this
+    /// node's requests in progress there, for operators.
     pub fn view(&self) -> impl Iterator<Item = (&Upstream, &Report, u32)> {
         self.services.values().flatten().map(|candidate| {
             (
@@ -214,13 +217,13 @@
             .find(|candidate| candidate.upstream.host.as_ref() == host)
     }
 
-    /// A host that joins a running fleet is cold and takes its share slowly; one
-    /// that is there when this node starts is taken as warm.
+    /// Creates a candidate. A host that joins a running fleet is cold and its share of the traffic
+    /// grows slowly; one that already exists when this node starts counts as warm.
     ///
-    /// Failure: a node that starts hears of its hosts in two steps, and takes those of the second
-    /// for new. Symptom: for seconds nearly all of its requests go to the few of the first.
-    fn join(&self, now: Instant, upstream: &Upstream, was_there: bool) -> Candidate {
-        let ramp = if was_there {
+    /// Failure: a starting node learns of its hosts in two steps and treats those of the second
+    /// step as new. Symptom: for seconds nearly all of its requests go to the few of the first.
+    fn new_candidate(&self, now: Instant, upstream: &Upstream, is_warm: bool) -> Candidate {
+        let ramp = if is_warm {
             Duration::ZERO
         } else {
             self.settings.ramp
@@ -233,158 +236,182 @@
                 ..Report::default()
             },
             reported_at: now,
-            heard: false,
-            others: 0.0,
+            has_reported: false,
+            others_load: 0.0,
             outstanding: 0,
-            ramped_at: now + ramp,
+            ramp_ends_at: now + ramp,
             avoid_until: None,
         }
     }
 }
 
-fn take_known(candidates: &mut Vec<Candidate>, host: &Arc<str>) -> Option<Candidate> {
+fn remove_candidate(candidates: &mut Vec<Candidate>, host: &Arc<str>) -> Option<Candidate> {
     let index = candidates
         .iter()
         .position(|candidate| &candidate.upstream.host == host)?;
     Some(candidates.swap_remove(index))
 }
 
-/// Draws the candidates that one choice compares, in random order.
+/// Samples the candidates that one choice compares, in random order.
 ///
-/// A host that joined takes part with a chance that grows to one over the ramp, so its
-/// share grows with it, whatever the others' load.
+/// A host that has just joined is included with a chance that grows to one over the ramp, so its
+/// share of the traffic grows with it, whatever the load of the other hosts.
 ///
-/// Load pattern: a service of some hundred hosts in several zones. Eight drawn at random hold one
-/// or two of the own zone or none, so one request in six leaves it though there is room inside,
-/// and a node meets each host so rarely that it knows nothing of it. Most of those drawn are hosts of
-/// the own zone, as far as there are, and the others show whether it is better elsewhere.
-fn draw(
+/// Load pattern: a service has a few hundred hosts in several zones. A random sample of eight
+/// contains one or two hosts of the node's zone or none, so one request in six leaves the zone
+/// although it has capacity, and a node reaches each host so rarely that it has no recent load
+/// report of it. Most of the sample is therefore taken from the node's zone, as far as it has
+/// enough hosts; the rest shows whether other zones are better.
+fn sample(
     settings: &Settings,
     rng: &mut ChaCha8Rng,
     candidates: &[Candidate],
     now: Instant,
     tried: &[Arc<str>],
 ) -> Vec<usize> {
-    let is_open = |index: &usize| !tried.contains(&candidates[*index].upstream.host);
-    let mut open: Vec<usize> = (0..candidates.len()).filter(is_open).collect();
-    open.shuffle(rng);
-    let warm = |index: &usize| {
+    let is_untried = |index: &usize| !tried.contains(&candidates[*index].upstream.host);
+    let mut untried: Vec<usize> = (0..candidates.len()).filter(is_untried).collect();
+    untried.shuffle(rng);
+    let passes_ramp = |index: &usize| {
         let chance = ramp_chance(settings, &candidates[*index], now);
         chance >= 1.0 || rng.random::<f64>() < chance
     };
-    let mut compared: Vec<usize> = open.iter().copied().filter(warm).collect();
+    let mut compared: Vec<usize> = untried.iter().copied().filter(passes_ramp).collect();
     if compared.is_empty() {
-        compared = open;
+        compared = untried;
     }
     let choices = settings.choices.max(1);
-    let near = |index: &usize| candidates[*index].upstream.same_zone;
-    let (inside, outside): (Vec<usize>, Vec<usize>) = compared.into_iter().partition(near);
-    let most_inside = choices.saturating_sub(settings.choices_outside.min(outside.len()));
-    let inside = inside.into_iter().take(most_inside);
+    let in_own_zone = |index: &usize| candidates[*index].upstream.same_zone;
+    let (inside, outside): (Vec<usize>, Vec<usize>) = compared.into_iter().partition(in_own_zone);
+    let max_inside = choices.saturating_sub(settings.choices_outside.min(outside.len()));
+    let inside = inside.into_iter().take(max_inside);
     inside.chain(outside).take(choices).collect()
 }
 
-/// What the compared candidates have in common.
+/// Averages over the compared candidates.
 struct Peers {
-    others_mean: f64,
-    service_median: f64,
+    /// Mean number of other nodes' requests.
+    mean_others_load: f64,
+    /// Median service time, in seconds.
+    median_service_time: f64,
 }
 
 impl Peers {
     fn of(candidates: &[Candidate], compared: &[usize]) -> Self {
         let count = f64::from(u32::try_from(compared.len().max(1)).unwrap_or(u32::MAX));
-        let others: f64 = compared.iter().map(|index| candidates[*index].others).sum();
-        let mut services: Vec<u32> = compared
+        let others_load: f64 = compared
+            .iter()
+            .map(|index| candidates[*index].others_load)
+            .sum();
+        let mut service_times: Vec<u32> = compared
             .iter()
             .map(|index| candidates[*index].report.service_micros)
             .collect();
-        services.sort_unstable();
-        let median = services.get(services.len() / 2).copied().unwrap_or(0);
+        service_times.sort_unstable();
+        let median = service_times
+            .get(service_times.len() / 2)
+            .copied()
+            .unwrap_or(0);
         Self {
-            others_mean: others / count,
-            service_median: seconds(median),
+            mean_others_load: others_load / count,
+            median_service_time: seconds(median),
         }
     }
 }
 
-/// Expected time until the answer, in seconds, with a mild preference for emptier
+/// Returns the expected time until the answer, in seconds, with a mild preference for emptier
 /// upstreams among those with free slots.
-fn cost_of(settings: &Settings, candidate: &Candidate, peers: &Peers, now: Instant) -> f64 {
+fn expected_cost(settings: &Settings, candidate: &Candidate, peers: &Peers, now: Instant) -> f64 {
     let age = now.duration_since(candidate.reported_at);
-    let service = service_of(settings, candidate, peers, age);
+    let service_time = expected_service_time(settings, candidate, peers, age);
     let limit = f64::from(candidate.report.limit.max(1));
-    let load = load_of(candidate, peers, age);
-    let wait = (load + 1.0 - limit).max(0.0) / limit * service;
-    let filling = settings.spread * service * load / limit;
-    let zone = if candidate.upstream.same_zone {
+    let load = expected_load(candidate, peers, age);
+    let wait = (load + 1.0 - limit).max(0.0) / limit * service_time;
+    let fill_cost = settings.spread * service_time * load / limit;
+    let zone_cost = if candidate.upstream.same_zone {
         0.0
     } else {
         settings.zone_cost.as_secs_f64()
     };
-    let cost = service + wait + filling + zone + slow_of(settings, candidate, service, age);
+    let cost = service_time
+        + wait
+        + fill_cost
+        + zone_cost
+        + expected_slowness(settings, candidate, service_time, age);
     if candidate.avoid_until.is_some_and(|until| now < until) {
-        return cost + AVOIDED_SECONDS;
+        return cost + AVOIDANCE_PENALTY_SECONDS;
     }
     cost
 }
 
-/// Expected time of a request in the upstream.
+/// Returns the expected time of a request in the upstream, in seconds.
 ///
-/// Reported means differ by chance, and following every difference sends the traffic of
-/// all nodes to whoever was lucky last. Only a straggler, slower than its peers by a
-/// clear factor, is taken as slower, and the suspicion fades with the report's age, so
-/// that one request now and then finds out whether it has recovered.
-fn service_of(settings: &Settings, candidate: &Candidate, peers: &Peers, age: Duration) -> f64 {
+/// Reported means differ by chance, and following every difference sends the traffic of all nodes
+/// to the host with the luckiest last report. Only a straggler, slower than the median of its peers
+/// by a clear factor, counts as slower, and the difference decays with the age of its report, so
+/// that an occasional request finds out whether the host has recovered.
+fn expected_service_time(
+    settings: &Settings,
+    candidate: &Candidate,
+    peers: &Peers,
+    age: Duration,
+) -> f64 {
     let reported = seconds(candidate.report.service_micros);
-    let median = peers.service_median;
-    let fading = (-age.as_secs_f64() / settings.straggler_fades.as_secs_f64()).exp();
-    let believed = median + (reported - median) * fading;
-    if believed > median * settings.straggler_factor {
-        believed
+    let median = peers.median_service_time;
+    let decay = (-age.as_secs_f64() / settings.straggler_fades.as_secs_f64()).exp();
+    let decayed = median + (reported - median) * decay;
+    if decayed > median * settings.straggler_factor {
+        decayed
     } else {
         median
     }
 }
 
-/// Extra time expected because the host may be slow, in seconds.
+/// Returns the extra time expected because the host may be in a slow phase, in seconds.
 ///
-/// Slow phases come and go by themselves, so what was told is believed less the older it is,
-/// and what is expected of any host takes its place: one that was told fast a moment ago is
-/// better than one of which nothing was heard for long.
+/// Slow phases begin and end on their own, so the reported slowness decays with the age of the
+/// report to the slowness expected of any host: a host that reported itself fast a moment ago is
+/// better than one with an old report.
 ///
-/// Failure: a host joins, or comes back from maintenance, while the others are in steady use and
-/// told fast. Symptom: it is expected to be slower than all of them, gets nothing, and so never
-/// tells otherwise. Until it has told its load for the first time nothing is held against it.
-fn slow_of(settings: &Settings, candidate: &Candidate, service: f64, age: Duration) -> f64 {
-    if !candidate.heard {
+/// Failure: a host joins, or returns from maintenance, while the others are in steady use and
+/// report that they are fast. Symptom: it is expected to be slower than all of them, gets no
+/// requests, and so never reports otherwise. Until its first report it gets no penalty.
+fn expected_slowness(
+    settings: &Settings,
+    candidate: &Candidate,
+    service_time: f64,
+    age: Duration,
+) -> f64 {
+    if !candidate.has_reported {
         return 0.0;
     }
-    let service = Duration::from_secs_f64(service);
-    let penalty = |percent| slow_penalty(percent, service, settings.slow_phase).as_secs_f64();
-    let told = penalty(candidate.report.slowness_percent);
+    let service_time = Duration::from_secs_f64(service_time);
+    let penalty = |percent| slow_penalty(percent, service_time, settings.slow_phase).as_secs_f64();
+    let reported = penalty(candidate.report.slowness_percent);
     let expected = penalty(settings.slow_percent) * settings.slow_share;
-    let fresh = (-age.as_secs_f64() / settings.slow_phase.as_secs_f64()).exp();
-    told * fresh + expected * (1.0 - fresh)
+    let freshness = (-age.as_secs_f64() / settings.slow_phase.as_secs_f64()).exp();
+    reported * freshness + expected * (1.0 - freshness)
 }
 
-/// Requests expected at the upstream now.
+/// Returns the number of requests expected at the upstream now.
 ///
-/// Failure: several nodes see the same low report and all choose it. Symptom: one host
-/// at a time is flooded. The own part counts at once, and the others' part is believed
-/// for no longer than it takes them to turn over.
-fn load_of(candidate: &Candidate, peers: &Peers, age: Duration) -> f64 {
-    let turnover = peers.service_median.max(1e-6);
-    let fresh = (-age.as_secs_f64() / turnover).exp();
-    let others = candidate.others * fresh + peers.others_mean * (1.0 - fresh);
-    others + f64::from(candidate.outstanding)
+/// Failure: several nodes see the same report of a low load and all choose that host. Symptom: one
+/// host at a time is overloaded. This node's own requests count immediately, and the reported
+/// requests of other nodes count for no longer than they take to turn over.
+fn expected_load(candidate: &Candidate, peers: &Peers, age: Duration) -> f64 {
+    let turnover = peers.median_service_time.max(1e-6);
+    let freshness = (-age.as_secs_f64() / turnover).exp();
+    let others_load =
+        candidate.others_load * freshness + peers.mean_others_load * (1.0 - freshness);
+    others_load + f64::from(candidate.outstanding)
 }
 
 fn ramp_chance(settings: &Settings, candidate: &Candidate, now: Instant) -> f64 {
-    let left = candidate.ramped_at.saturating_duration_since(now);
+    let left = candidate.ramp_ends_at.saturating_duration_since(now);
     if left.is_zero() || settings.ramp.is_zero() {
         return 1.0;
     }
-    (1.0 - left.div_duration_f64(settings.ramp)).max(RAMP_LEAST)
+    (1.0 - left.div_duration_f64(settings.ramp)).max(MIN_RAMP_CHANCE)
 }
 
 fn seconds(micros: u32) -> f64 {
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: spreads, avoids, and never leaves the set empty.
+//! Placement: spreads requests, avoids bad hosts, and chooses an avoided host rather than none.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -32,7 +32,9 @@
 fn picks(placement: &mut Placement, now: Instant, count: u32) -> BTreeMap<Arc<str>, u32> {
     let mut spread = BTreeMap::new();
     for _ in 0..count {
-        let host = placement.pick(now, SERVICE, &[]).expect("one is open");
+        let host = placement
+            .pick(now, SERVICE, &[])
+            .expect("a host is untried");
         *spread.entry(host).or_default() += 1;
     }
     spread
@@ -48,10 +50,10 @@
     }
 }
 
-/// What the upstreams see: a burst between two reports is spread over all of them, not
-/// sent to the one that looked emptiest.
+/// Guards against a burst between two load reports going to the one host that was reported
+/// emptiest: it is spread over all hosts.
 #[test]
-fn pick_counts_its_own_since_the_report() {
+fn pick_counts_own_requests_since_the_report() {
     let now = Instant::now();
     let mut placement = placement(now, 4);
     let spread = picks(&mut placement, now, 40);
@@ -101,9 +103,8 @@
     assert!(spread.contains_key("host-0"), "{spread:?}");
 }
 
-/// What the callers see: a host that joins a running fleet is cold; it gets a small
-/// share at first, more as the ramp goes on, and its full share after it, also while the
-/// others have room.
+/// Guards against a cold host that joins a running fleet getting its full share at once: its share
+/// starts small and grows over the ramp to the full share, also while the others have capacity.
 #[test]
 fn pick_ramps_up_a_host_that_joins() {
     let started_at = Instant::now();
@@ -114,13 +115,13 @@
     let mut shares = Vec::new();
     for seconds in [0, 2, 6] {
         let at = now + Duration::from_secs(seconds);
-        let mut share = 0;
+        let mut picked = 0;
         for _ in 0..400 {
-            let host = placement.pick(at, SERVICE, &[]).expect("one is open");
-            share += u32::from(&*host == "host-3");
+            let host = placement.pick(at, SERVICE, &[]).expect("a host is untried");
+            picked += u32::from(&*host == "host-3");
             placement.finish(at, SERVICE, &host, Ending::Answered);
         }
-        shares.push(share);
+        shares.push(picked);
     }
     assert!(
         shares[0] > 0 && shares[0] < shares[1] && shares[1] < shares[2],
@@ -130,7 +131,7 @@
 }
 
 #[test]
-fn update_keeps_what_is_known_of_those_that_stay() {
+fn update_keeps_reports_of_remaining_hosts() {
     let now = Instant::now();
     let mut placement = placement(now, 2);
     placement.reported(now, SERVICE, "host-0", report(12, 20));
@@ -140,10 +141,10 @@
     assert_eq!(spread.get("host-0"), None);
 }
 
-/// A host turns slow and says so: new requests go to the others, and come back as the news
-/// grows old, since a slow phase ends by itself.
+/// A host reports a slow phase: new requests go to the other hosts, and return as the report ages,
+/// since a slow phase ends on its own.
 #[test]
-fn pick_leaves_a_slow_host_alone_for_a_while() {
+fn pick_avoids_a_slow_host_until_its_report_is_old() {
     let now = Instant::now();
     let mut placement = placement(now, 3);
     for host in ["host-0", "host-1", "host-2"] {
@@ -172,59 +173,63 @@
     assert!(share(&mut placement, now + Duration::from_secs(10)) >= 5);
 }
 
-/// A quiet time: a quarter of the hosts is slow at any moment, and most hosts were last
-/// heard seconds ago. What they said then says nothing now; one that was told fast a moment
-/// ago is the better choice, although it has two requests more.
+/// Under light traffic a quarter of the hosts is slow at any moment, and most reports are seconds
+/// old and no longer valid. A host that reported itself fast a moment ago is the better choice,
+/// although it has two more requests in flight.
 #[test]
-fn pick_prefers_a_host_just_told_fast_to_one_not_heard_for_long() {
+fn pick_prefers_a_recent_fast_report_to_old_ones() {
     let now = Instant::now();
     let mut placement = placement(now, 4);
-    let told = Report {
+    let fast = Report {
         service_micros: 120_000,
         slowness_percent: 100,
         ..report(0, 0)
     };
     for index in 0..4 {
-        placement.reported(now, SERVICE, &format!("host-{index}"), told);
+        placement.reported(now, SERVICE, &format!("host-{index}"), fast);
     }
     let later = now + Duration::from_secs(3);
-    let told = Report {
+    let fast = Report {
         in_flight: 2,
-        ..told
+        ..fast
     };
-    placement.reported(later, SERVICE, "host-2", told);
-    let chosen = placement.pick(later, SERVICE, &[]).expect("one is open");
+    placement.reported(later, SERVICE, "host-2", fast);
+    let chosen = placement
+        .pick(later, SERVICE, &[])
+        .expect("a host is untried");
     assert_eq!(&*chosen, "host-2");
 }
 
-/// The same host a while later: nothing sets it apart any more, and its two requests do.
+/// A report of a slow phase counts while it is fresh; seconds later the host is chosen again.
 #[test]
-fn pick_forgets_what_was_told_as_it_ages() {
+fn pick_discounts_reports_as_they_age() {
     let now = Instant::now();
     let mut placement = placement(now, 2);
-    let told = Report {
+    let slow = Report {
         service_micros: 120_000,
         slowness_percent: 400,
         ..report(0, 0)
     };
-    placement.reported(now, SERVICE, "host-1", told);
-    let free = Report {
+    placement.reported(now, SERVICE, "host-1", slow);
+    let fast = Report {
         slowness_percent: 100,
-        ..told
+        ..slow
     };
-    placement.reported(now, SERVICE, "host-0", free);
-    let chosen = placement.pick(now, SERVICE, &[]).expect("one is open");
+    placement.reported(now, SERVICE, "host-0", fast);
+    let chosen = placement
+        .pick(now, SERVICE, &[])
+        .expect("a host is untried");
     assert_eq!(&*chosen, "host-0");
     let later = now + Duration::from_secs(3);
     let spread = picks(&mut placement, later, 20);
     assert!(spread.contains_key("host-1"), "{spread:?}");
 }
 
-/// A node starts and hears of its hosts in two steps, 15 ms apart. Those of the second were taken
-/// for new: 20 of 20 requests went to the other host, though it stood in another zone. They are
-/// as warm as the first.
+/// Guards against a starting node, which learns of its hosts in two steps 15 ms apart, treating
+/// those of the second step as new: 20 of 20 requests went to the other host, although it was in
+/// another zone. All hosts learned of at the start are warm.
 #[test]
-fn update_takes_hosts_heard_of_at_the_start_as_warm() {
+fn update_treats_hosts_learned_at_startup_as_warm() {
     let now = Instant::now();
     let outside = Upstream {
         same_zone: false,
@@ -239,11 +244,12 @@
     assert!(spread.contains_key("host-1"), "{spread:?}");
 }
 
-/// A host came back from maintenance half a second ago, and the two others are in steady use, each
-/// told fast a moment ago. It has told nothing since, so it was expected to be slower than both, got no
-/// request in two seconds and so never told. It is asked, and from then on compared as they are.
+/// Guards against starving a host that returned from maintenance half a second ago while two others
+/// are in steady use and just reported that they are fast. Without a report of its own it was
+/// expected to be slower than both, got no request in two seconds and so never reported. It must
+/// get requests, and is compared like the others from its first report on.
 #[test]
-fn pick_asks_a_host_that_joined_and_told_nothing_yet() {
+fn pick_chooses_a_joined_host_without_a_report() {
     let now = Instant::now();
     let settings = Settings {
         ramp: Duration::ZERO,
@@ -254,22 +260,22 @@
     placement.update(now, &two);
     let three: Vec<Upstream> = (0..3).map(upstream).collect();
     placement.update(now, &three);
-    let mut asked = 0;
+    let mut picked = 0;
     for millis in (500..2_000).step_by(20) {
         let at = now + Duration::from_millis(millis);
         for host in ["host-0", "host-1"] {
             placement.reported(at, SERVICE, host, report(1, 0));
         }
-        let host = placement.pick(at, SERVICE, &[]).expect("one is open");
+        let host = placement.pick(at, SERVICE, &[]).expect("a host is untried");
         placement.finish(at, SERVICE, &host, Ending::GivenUp);
-        asked += u32::from(&*host == "host-2");
+        picked += u32::from(&*host == "host-2");
     }
-    assert!(asked > 0);
+    assert!(picked > 0);
 }
 
-/// Share of the requests that stay in the zone of a node that knows 220 hosts, 44 of them inside;
-/// `passed_over` are those that may not be chosen, drawn anew for each request.
-fn share_inside(inside: Report, mut passed_over: impl FnMut(&[Upstream]) -> Vec<Arc<str>>) -> f64 {
+/// Returns the share of requests that stay in the zone of a node with 220 hosts, 44 of them in its
+/// own zone. `excluded` returns the hosts that must not be chosen, and is called for each request.
+fn share_inside(inside: Report, mut excluded: impl FnMut(&[Upstream]) -> Vec<Arc<str>>) -> f64 {
     let settings = Settings {
         zone_cost: Duration::from_millis(20),
         slow_phase: Duration::from_millis(300),
@@ -295,8 +301,10 @@
             };
             placement.reported(now, SERVICE, &upstream.host, report);
         }
-        let tried = passed_over(&upstreams);
-        let host = placement.pick(now, SERVICE, &tried).expect("one is open");
+        let tried = excluded(&upstreams);
+        let host = placement
+            .pick(now, SERVICE, &tried)
+            .expect("a host is untried");
         placement.finish(now, SERVICE, &host, Ending::Answered);
         let chosen = upstreams.iter().find(|upstream| upstream.host == host);
         count += u32::from(chosen.expect("one of them").same_zone);
@@ -304,20 +312,18 @@
     f64::from(count) / 1_000.0
 }
 
-/// A service of 220 hosts in five zones, of which a node sends to each now and then. Eight drawn
-/// at random hold one or two hosts of its own zone or none: while all are free one request in six
-/// leaves the zone for nothing. Drawn mostly inside none does, and when those inside are full the
-/// free ones outside are found.
+/// Guards against needless traffic between zones in a service of 220 hosts in five zones, each of
+/// which a node uses only now and then. Eight hosts sampled at random contain one or two of its
+/// zone or none, so while all hosts are free one request in six leaves the zone. With a sample
+/// mostly from its zone none does, and when those hosts are full, free ones elsewhere are
+/// found.
 #[test]
 fn pick_stays_in_the_zone_of_a_large_fleet() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let all_but_eight = |upstreams: &[Upstream]| {
-        let left = upstreams.len() - 8;
-        let passed_over = upstreams.iter().sample(&mut rng, left);
-        passed_over
-            .into_iter()
-            .map(|u| Arc::clone(&u.host))
-            .collect()
+        let excluded_count = upstreams.len() - 8;
+        let excluded = upstreams.iter().sample(&mut rng, excluded_count);
+        excluded.into_iter().map(|u| Arc::clone(&u.host)).collect()
     };
     let at_random = share_inside(report(3, 0), all_but_eight);
     let mostly_inside = share_inside(report(3, 0), |_| Vec::new());
