--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -1,10 +1,11 @@
-//! Hosts asked for one request, and which may be asked next.
+//! Tracks the hosts asked to take one request, and which may be asked next.
 //!
-//! Load pattern: what a node knows of an upstream is old, so in a burst many nodes pick the
-//! same one. Its node refuses what it could only answer late, at once and at no upstream's
-//! cost, and tells its true load; the request goes on to the next. Only the last host asked
-//! may take it for a late answer, and then it may be one that refused it before. Once its target
-//! has passed no host can be in time, and the next one asked is the last.
+//! Load pattern: load reports are stale, so in a burst many nodes choose the same upstream. The
+//! node beside it immediately refuses requests that it could only answer late, without involving
+//! the upstream, and reports its current load; the request moves on to the next host. Only the last
+//! host asked may accept it for a late answer, and that may be one that refused it before. Once the
+//! target time of the request has passed no host can be in time, and the next one asked is the
+//! last.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -12,76 +13,78 @@
 use crate::configs::retry::Settings;
 use crate::outcome::{Reason, Refusal};
 
-/// What has been tried for one request.
+/// Hosts tried for one request, and attempts that reached an upstream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Attempts {
-    /// Hosts that are not to be asked again.
+    /// Hosts that must not be asked again.
     tried: Vec<Arc<str>>,
-    /// Those of them that refused only because their answer would have come late.
-    late_at: Vec<Arc<str>>,
-    /// Hosts asked so far, whatever they said.
-    asked: u32,
-    /// Upstreams that have seen the request, or may have.
-    handed: u32,
+    /// Hosts among `tried` that refused only because their answer would have been late.
+    refused_late: Vec<Arc<str>>,
+    /// Placements so far, whatever their result.
+    placements: u32,
+    /// Upstreams that received the request, or may have.
+    handovers: u32,
 }
 
-/// By when a request is due.
+/// Time limits of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Due {
-    /// The answer is worth less after this instant.
+    /// An answer after this instant is late, but still useful.
     pub target: Instant,
-    /// The answer is worth nothing after this instant.
+    /// An answer after this instant is useless.
     pub deadline: Instant,
 }
 
 impl Attempts {
-    /// Hosts that are not to be asked again.
+    /// Returns the hosts that must not be asked again.
     #[must_use]
     pub fn tried(&self) -> &[Arc<str>] {
         &self.tried
     }
 
-    /// Upstreams that have seen the request, or may have.
+    /// Returns the number of upstreams that received the request, or may have.
     #[must_use]
     pub const fn handed(&self) -> u32 {
-        self.handed
+        self.handovers
     }
 
-    /// A host is asked; returns whether it is to refuse what it could only answer late.
+    /// Records that a host is asked; returns whether it must refuse the request if it could only
+    /// answer late.
     pub fn asks(&mut self, settings: &Settings, host: &Arc<str>) -> bool {
         self.tried.push(Arc::clone(host));
-        self.asked += 1;
-        self.asked < settings.placements
+        self.placements += 1;
+        self.placements < settings.placements
     }
 
-    /// The upstream of the host asked last has seen the request, or may have.
+    /// Records that the upstream of the last host asked received the request, or may have.
     pub const fn was_handed(&mut self) {
-        self.handed += 1;
+        self.handovers += 1;
     }
 
-    /// The host asked last refused before its upstream saw anything; returns whether
-    /// another may be asked. `others` tells whether there is one besides those given.
+    /// Records that the last host asked refused before its upstream received anything; returns
+    /// whether another may be asked. `has_untried` returns whether there is a host besides those
+    /// given.
     pub fn refused(
         &mut self,
         settings: &Settings,
         now: Instant,
         due: Due,
         refusal: &Refusal,
-        others: impl Fn(&[Arc<str>]) -> bool,
+        has_untried: impl Fn(&[Arc<str>]) -> bool,
     ) -> bool {
-        let may_go_on = self.asked < settings.placements && now < due.deadline;
-        if !may_go_on || !refusal.reason.is_local() {
+        let may_continue = self.placements < settings.placements && now < due.deadline;
+        if !may_continue || !refusal.reason.is_local() {
             return false;
         }
         if refusal.reason == Reason::Late {
-            self.late_at.extend(self.tried.last().cloned());
+            self.refused_late.extend(self.tried.last().cloned());
         }
-        let last = self.asked + 1 >= settings.placements || now >= due.target;
-        if last || !others(&self.tried) {
-            self.asked = settings.placements.saturating_sub(1);
-            let late_at = std::mem::take(&mut self.late_at);
-            self.tried.retain(|host| !late_at.contains(host));
+        let next_is_last = self.placements + 1 >= settings.placements || now >= due.target;
+        if next_is_last || !has_untried(&self.tried) {
+            self.placements = settings.placements.saturating_sub(1);
+            let refused_late = std::mem::take(&mut self.refused_late);
+            self.tried.retain(|host| !refused_late.contains(host));
         }
-        others(&self.tried)
+        has_untried(&self.tried)
     }
 }
--- a/crates/core/src/configs/retry.rs
+++ b/crates/core/src/configs/retry.rs
@@ -1,18 +1,18 @@
-//! Settings of second attempts.
+//! Settings for retries.
 
 use serde::{Deserialize, Serialize};
 
-/// Settings of [`crate::retry`].
+/// Settings for [`crate::retry`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Attempts made for one request, the first included.
+    /// Maximum number of attempts for one request, including the first.
     pub attempts: u32,
-    /// Hosts tried for one request while none has handed it to its upstream.
+    /// Maximum number of hosts tried for one request while none has handed it to its upstream.
     pub placements: u32,
-    /// Statuses of an upstream's answer after which a repeatable request is tried again.
+    /// Status codes of an upstream's answer after which a repeatable request is retried.
     pub on_statuses: Vec<u16>,
-    /// Second attempts that may be made at once after a quiet time.
+    /// Size of the retry budget: retries that can be made at once after a time without any.
     pub burst: f64,
 }
 
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,26 +1,27 @@
-//! Whether a request may be tried again, without multiplying load.
+//! Decides whether a request may be retried, with a budget that bounds retry amplification.
 
 use std::time::Instant;
 
 use crate::configs::retry::Settings;
 use crate::outcome::{Outcome, Refusal};
 
-/// How far an attempt got, as its entry node knows it.
+/// How far an attempt got, as far as the node that the caller spoke to can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// No byte of the request left this node.
+    /// No byte of the request was sent by this node.
     NeverSent,
-    /// The node beside the upstream said that it was not handed over.
-    RefusedBefore,
-    /// It was sent, and nothing certain is known.
+    /// The node beside the upstream replied that it did not hand the request over.
+    NotHandedOver,
+    /// The request was sent, and it is not known whether it ran.
     MayHaveRun,
 }
 
-/// Share of answered traffic that may be spent on second attempts.
+/// Token bucket that limits retries to a share of the answered requests.
 ///
-/// Failure: all upstreams refuse at once. Symptom: each level of calls multiplies the
-/// load by its attempts, to the power of the depth. Only answers earn tokens, so under
-/// total refusal second attempts end after the burst, and the factor goes to one.
+/// Failure: all upstreams refuse at the same time. Symptom: every level of nested calls multiplies
+/// the load by its number of attempts, so amplification grows exponentially with the depth. Only
+/// answered requests add tokens, so when everything is refused retries stop after the burst and
+/// the amplification factor falls to one.
 #[derive(Debug)]
 pub struct Budget {
     settings: Settings,
@@ -29,7 +30,7 @@
 }
 
 impl Budget {
-    /// Starts with a full burst; `share` is retries per answered request.
+    /// Creates a full bucket; `share` is the number of retries allowed per answered request.
     #[must_use]
     pub const fn new(settings: Settings, share: f64) -> Self {
         Self {
@@ -39,26 +40,26 @@
         }
     }
 
-    /// Takes other settings.
+    /// Replaces the settings.
     pub fn set_settings(&mut self, settings: Settings) {
         self.tokens = self.tokens.min(settings.burst);
         self.settings = settings;
     }
 
-    /// Takes the share that the preset in force grants.
+    /// Sets the share granted by the preset in force.
     pub const fn set_share(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// A request got the upstream's answer.
+    /// Adds the tokens for one answered request.
     pub const fn earn(&mut self) {
         self.tokens = (self.tokens + self.share).min(self.settings.burst);
     }
 
-    /// Whether a further attempt may be made; takes its token if so.
+    /// Returns whether a further attempt may be made, and spends its token if so.
     ///
-    /// `attempts` counts those already made. An unrepeatable request is tried again
-    /// only when it certainly did not run.
+    /// `attempts` counts those already made. An unrepeatable request is retried only if it
+    /// certainly did not run.
     pub fn may_retry(
         &mut self,
         now: Instant,
@@ -81,11 +82,11 @@
     }
 }
 
-/// The progress that a refusal stands for.
+/// Returns the progress of an attempt that ended with this refusal.
 #[must_use]
 pub const fn progress_of(refusal: &Refusal) -> Progress {
     match refusal.outcome {
-        Outcome::NotRun => Progress::RefusedBefore,
+        Outcome::NotRun => Progress::NotHandedOver,
         Outcome::Unknown => Progress::MayHaveRun,
     }
 }
--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Which hosts are asked for one request, and in what order they may be asked again.
+//! Which hosts are asked to take one request, and in what order they may be asked again.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
 use mintridge_core::outcome::{Reason, Refusal};
 use rstest::rstest;
 
-const SERVERS: [&str; 4] = ["a", "b", "c", "d"];
+const HOSTS: [&str; 4] = ["a", "b", "c", "d"];
 
 fn settings() -> Settings {
     Settings {
@@ -17,7 +17,7 @@
     }
 }
 
-/// Due by this deadline, and in time until then.
+/// Time limits whose target is the deadline itself.
 const fn due(deadline: Instant) -> Due {
     Due {
         target: deadline,
@@ -25,46 +25,46 @@
     }
 }
 
-/// Asks host after host, each refusing for a reason, and tells which were asked and
-/// which of them were to refuse a late answer.
-fn play(hosts: usize, reasons: &[Reason]) -> Vec<(&'static str, bool)> {
+/// Asks one host after another, each of which refuses for the given reason. Returns the hosts that
+/// were asked, and whether each had to refuse if it could only answer late.
+fn ask_hosts(hosts: usize, reasons: &[Reason]) -> Vec<(&'static str, bool)> {
     let now = Instant::now();
     let deadline = now + Duration::from_secs(1);
     let mut attempts = Attempts::default();
     let mut asked = Vec::new();
     for reason in reasons {
-        let open = SERVERS[..hosts]
+        let untried = HOSTS[..hosts]
             .iter()
             .find(|host| !attempts.tried().iter().any(|tried| **tried == ***host));
-        let host = open.expect("one is open");
+        let host = untried.expect("a host is untried");
         let only_in_time = attempts.asks(&settings(), &Arc::from(*host));
         asked.push((*host, only_in_time));
         let refusal = Refusal::not_run(*reason, now);
-        let others = |tried: &[Arc<str>]| {
-            let mut open = SERVERS[..hosts].iter();
-            open.any(|host| !tried.iter().any(|tried| **tried == **host))
+        let has_untried = |tried: &[Arc<str>]| {
+            let mut all = HOSTS[..hosts].iter();
+            all.any(|host| !tried.iter().any(|tried| **tried == **host))
         };
-        if !attempts.refused(&settings(), now, due(deadline), &refusal, others) {
+        if !attempts.refused(&settings(), now, due(deadline), &refusal, has_untried) {
             break;
         }
     }
     asked
 }
 
-/// A burst: all hosts could answer late only. Two are asked to answer in time, and the
-/// third time any of them may take the request for a late answer, once.
+/// In a burst all hosts could only answer late. Two are asked for an answer in time; the third
+/// placement accepts a late answer, and may be on a host that refused before.
 #[rstest]
 #[case::enough_hosts(4, &[Reason::Late; 5], &[("a", true), ("b", true), ("a", false)])]
 #[case::one_host(1, &[Reason::Late; 5], &[("a", true), ("a", false)])]
 #[case::full(4, &[Reason::Busy; 5], &[("a", true), ("b", true), ("c", false)])]
 #[case::late_then_leaving(2, &[Reason::Late, Reason::Leaving, Reason::Late], &[("a", true), ("b", true), ("a", false)])]
-#[case::of_no_use_elsewhere(4, &[Reason::BadRequest], &[("a", true)])]
-fn refused_goes_on_while_another_may_answer(
+#[case::refused_everywhere(4, &[Reason::BadRequest], &[("a", true)])]
+fn refused_continues_while_another_host_may_answer(
     #[case] hosts: usize,
     #[case] reasons: &[Reason],
     #[case] expected: &[(&str, bool)],
 ) {
-    assert_eq!(play(hosts, reasons), expected);
+    assert_eq!(ask_hosts(hosts, reasons), expected);
 }
 
 #[test]
@@ -76,10 +76,10 @@
     assert!(!attempts.refused(&settings(), now, due(now), &refusal, |_| true));
 }
 
-/// A request waited on a host until its target had passed, and was then refused as late: no
-/// host can be in time any more, so the next one asked is the last, and may take it late.
+/// A request waits at a host until its target has passed and is then refused as late. No host can
+/// be in time any more, so the next one asked is the last and may answer late.
 #[test]
-fn refused_asks_once_more_when_the_target_has_passed() {
+fn refused_allows_one_more_host_after_the_target() {
     let now = Instant::now();
     let mut attempts = Attempts::default();
     assert!(attempts.asks(&settings(), &Arc::from("a")));
