--- a/crates/core/src/configs/health.rs
+++ b/crates/core/src/configs/health.rs
@@ -1,20 +1,21 @@
-//! Settings of the trust in the upstream.
+//! Settings for the health of the upstream.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Settings of [`crate::health`].
+/// Settings for [`crate::health`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Failures in a row that make the upstream doubtful.
+    /// Consecutive failures after which the upstream is doubtful.
     pub failures_until_doubtful: u32,
-    /// A refusal by the upstream is a failure only below this share of its mean time.
+    /// A refusal by the upstream counts as a failure only if it takes less than this share of the
+    /// mean service time.
     pub fast_failure: f64,
-    /// No answer is a failure only after this many times its mean time.
+    /// A missing answer counts as a failure only after this many times the mean service time.
     pub patience: f64,
-    /// Least time between a failed probe and the next; the budget may make it longer.
+    /// Minimum time between a failed probe and the next; the probe budget may extend it.
     #[serde(with = "humantime_serde")]
     pub probe_again_after: Duration,
 }
--- a/crates/core/src/configs/probe.rs
+++ b/crates/core/src/configs/probe.rs
@@ -1,17 +1,17 @@
-//! Settings of the probes of a doubtful upstream.
+//! Settings for probes of a doubtful upstream.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Settings of [`crate::probe`].
+/// Settings for [`crate::probe`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// A probe unanswered for this long has failed; also the size of the budget's bucket.
+    /// Time after which an unanswered probe has failed; also the size of the budget's bucket.
     #[serde(with = "humantime_serde")]
     pub timeout: Duration,
-    /// Least cost of a probe, however soon it is answered.
+    /// Minimum cost charged for a probe, however soon it is answered.
     #[serde(with = "humantime_serde")]
     pub cost_least: Duration,
 }
--- a/crates/core/src/ewma.rs
+++ b/crates/core/src/ewma.rs
@@ -1,36 +1,36 @@
-//! An exponentially weighted moving average of durations.
+//! Exponentially weighted moving average of durations.
 
 use std::time::Duration;
 
-/// Mean of recent durations; each sample moves it by a fixed share.
+/// Moving average of durations, in which every sample has the same weight when it is added.
 #[derive(Clone, Copy, Debug)]
 pub struct Ewma {
     seconds: f64,
-    share: f64,
+    weight: f64,
 }
 
 impl Ewma {
-    /// Starts at `initial`; `share` in 0..=1 is the weight of one sample.
+    /// Creates an average of `initial_seconds`; `weight` in 0..=1 is the weight of one sample.
     #[must_use]
-    pub const fn new(initial_seconds: f64, share: f64) -> Self {
+    pub const fn new(initial_seconds: f64, weight: f64) -> Self {
         Self {
             seconds: initial_seconds,
-            share,
+            weight,
         }
     }
 
-    /// Takes one sample in.
+    /// Adds one sample.
     pub fn add(&mut self, sample: Duration) {
-        self.seconds += (sample.as_secs_f64() - self.seconds) * self.share;
+        self.seconds += (sample.as_secs_f64() - self.seconds) * self.weight;
     }
 
-    /// The mean, in seconds.
+    /// Returns the average, in seconds.
     #[must_use]
     pub const fn seconds(&self) -> f64 {
         self.seconds
     }
 
-    /// The mean, as a duration.
+    /// Returns the average as a duration.
     #[must_use]
     pub fn mean(&self) -> Duration {
         Duration::from_secs_f64(self.seconds.max(0.0))
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -1,19 +1,19 @@
-//! Whether the upstream beside this node is to be trusted with requests.
+//! Decides whether the upstream beside this node is healthy enough to receive requests.
 
 use std::time::{Duration, Instant};
 
 use crate::configs::health::Settings;
 
-/// What one request or probe showed.
+/// Result of one request or probe, as far as it matters for the upstream's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The upstream answered in its own good time.
+    /// The upstream answered, however long it took.
     Answered,
-    /// The upstream refused the connection, broke it, or failed at once.
+    /// The upstream refused or broke the connection, failed immediately, or did not answer.
     Failed,
 }
 
-/// Trust in the upstream; doubtful after failures in a row.
+/// Health of the upstream, which becomes doubtful after consecutive failures.
 #[derive(Debug)]
 pub struct Health {
     settings: Settings,
@@ -28,7 +28,7 @@
 }
 
 impl Health {
-    /// Starts trusting.
+    /// Creates the health of an upstream that is assumed to be ready.
     #[must_use]
     pub const fn new(settings: Settings) -> Self {
         Self {
@@ -37,16 +37,17 @@
         }
     }
 
-    /// The upstream has started again: failures of the start before say nothing of it.
+    /// Resets the health after a restart of the upstream: failures of the previous process say
+    /// nothing about the new one.
     pub const fn restarted(&mut self) {
         self.state = State::Ready { failures: 0 };
     }
 
-    /// Takes in what a request showed.
+    /// Records the result of a request.
     ///
-    /// Failure: an upstream that fails fast looks idle. Symptom: it draws most of the
-    /// traffic and fails it. A few failures in a row close the gate, and from then on
-    /// only probes within their budget reach it.
+    /// Failure: an upstream that fails fast looks idle. Symptom: it attracts most of the traffic
+    /// and fails it. After a few consecutive failures no requests are handed over, and only probes
+    /// within their budget reach the upstream.
     pub fn note(&mut self, now: Instant, verdict: Verdict) {
         match (&mut self.state, verdict) {
             (State::Ready { failures }, Verdict::Answered) => *failures = 0,
@@ -60,34 +61,37 @@
         }
     }
 
-    /// What a refusal by the upstream shows, which came after `took`.
+    /// Judges a refusal by the upstream that arrived after `took`; returns `None` if it says
+    /// nothing about the upstream's health.
     ///
-    /// Failure: one client account asks for what the application itself refuses. Symptom: the
-    /// upstream turns doubtful for everybody. Only a refusal faster than work could be is
-    /// a sign of the upstream and not of the request.
+    /// Failure: one client account sends requests that the application itself refuses. Symptom: the
+    /// upstream becomes doubtful for all callers. Only a refusal that is faster than real work
+    /// could be indicates a fault of the upstream rather than of the request.
     #[must_use]
     pub fn refused(&self, took: Duration, mean: Duration) -> Option<Verdict> {
-        let fast = took < mean.mul_f64(self.settings.fast_failure);
-        fast.then_some(Verdict::Failed)
+        let is_fast = took < mean.mul_f64(self.settings.fast_failure);
+        is_fast.then_some(Verdict::Failed)
     }
 
-    /// What no answer shows, after `waited`.
+    /// Judges a request that got no answer within `waited`; returns `None` if that says nothing
+    /// about the upstream's health.
     ///
-    /// Failure: one client account allows its requests no time. Symptom: as above. Only a
-    /// silence long beside the usual time is a sign of the upstream.
+    /// Failure: one client account sends requests with very short timeouts. Symptom: the upstream
+    /// becomes doubtful for all callers. Only a wait that is long compared with the mean time
+    /// indicates a fault of the upstream.
     #[must_use]
     pub fn silent(&self, waited: Duration, mean: Duration) -> Option<Verdict> {
-        let long = waited >= mean.mul_f64(self.settings.patience);
-        long.then_some(Verdict::Failed)
+        let is_overdue = waited >= mean.mul_f64(self.settings.patience);
+        is_overdue.then_some(Verdict::Failed)
     }
 
-    /// Whether requests may be handed over.
+    /// Whether requests may be handed over to the upstream.
     #[must_use]
     pub const fn is_ready(&self) -> bool {
         matches!(self.state, State::Ready { .. })
     }
 
-    /// When the next probe is due, if one is.
+    /// Returns when the next probe is due, if any.
     #[must_use]
     pub const fn probe_at(&self) -> Option<Instant> {
         match self.state {
@@ -96,19 +100,19 @@
         }
     }
 
-    /// A probe was sent.
+    /// Records that a probe is being sent.
     pub fn probing(&mut self) {
         self.state = State::Probing;
     }
 
-    /// The budget or the last probe says to wait until `at`.
+    /// Postpones the next probe until `at`, unless the upstream is ready.
     pub fn wait_until(&mut self, at: Instant) {
         if !self.is_ready() {
             self.state = State::Doubtful { probe_at: at };
         }
     }
 
-    /// A probe came back.
+    /// Records the result of a probe.
     pub fn probed(&mut self, now: Instant, verdict: Verdict) {
         self.state = match verdict {
             Verdict::Answered => State::Ready { failures: 0 },
--- a/crates/core/src/pace.rs
+++ b/crates/core/src/pace.rs
@@ -1,117 +1,129 @@
-//! How fast the upstream's host is at this moment, beside its usual pace.
+//! Tracks how fast the upstream's host is at this moment, relative to its own baseline.
 //!
-//! Load pattern: a quarter of the hosts is several times slower at any moment, for some hundred
-//! milliseconds, and work that begins then is slow to its end. What counts is the host's pace
-//! beside its usual one: a host that is cold after a start, or whose neighbours have moved in for
-//! good, is slower than others, but waiting does not help, and so a phase that lasts much longer
-//! than usual is taken as the usual pace.
+//! Load pattern: at any moment a quarter of the hosts is several times slower for a few hundred
+//! milliseconds, and work that starts in such a slow phase stays slow to its end. What matters is
+//! the speed relative to the host's own baseline: a host that is cold after a start, or has
+//! permanent noisy neighbours, is slower than others, but waiting does not help. A slow phase that
+//! lasts much longer than usual therefore becomes the new baseline.
 
 use std::time::{Duration, Instant};
 
 use crate::configs::admission::Settings;
 use crate::load::{slow_loss, slow_penalty};
 
-/// A slow phase that has lasted this many times the usual goes on, as far as can be known: one
-/// in sixty does, where each phase goes on with a chance of a quarter.
-const PASSING_PHASES: u32 = 3;
-/// A host is in a slow phase when work takes this many percent of what it usually takes there.
-const SLOW_PERCENT: u32 = 150;
-/// An upstream that has just begun takes up to twice the usual, so the first word of a host is
-/// its usual pace up to this.
-const COLD_PERCENT: u32 = 200;
-/// Work takes this many percent of the usual where nothing else is known.
-const USUAL_PERCENT: u32 = 100;
-
-/// What the upstream tells of its host's pace.
+/// A slow phase that has lasted for more than this many expected phases counts as permanent. Where
+/// each phase continues with a probability of a quarter, one in sixty lasts that long.
+const MAX_SLOW_PHASES: u32 = 3;
+/// A host is in a slow phase when work takes at least this many percent of its baseline.
+const SLOW_THRESHOLD_PERCENT: u32 = 150;
+/// Upper bound of the first baseline. An upstream that has just started takes up to twice the usual
+/// time, so the first observation of a host becomes its baseline up to this value.
+const MAX_COLD_PERCENT: u32 = 200;
+/// Work on a host that is not known to be slow takes this many percent of its baseline.
+const DEFAULT_PERCENT: u32 = 100;
+
+/// Speed of the upstream's host, as reported by the upstream.
 #[derive(Debug, Default)]
 pub struct Pace {
     latest: Option<Observation>,
 }
 
-/// What the upstream reported last.
+/// The last report of the upstream.
 #[derive(Clone, Copy, Debug)]
 struct Observation {
+    /// Reported time that work takes, in percent of the usual.
     percent: u32,
     at: Instant,
-    /// What it tells when it is in no slow phase.
-    usual_percent: u32,
-    /// When it was first told to be slow, if it has been ever since.
+    /// Percentage reported while the host is not in a slow phase.
+    baseline_percent: u32,
+    /// Start of the slow phase that the host is in, if any.
     slow_since: Option<Instant>,
 }
 
 impl Observation {
-    /// What is told now, after `before`; a phase that outlasts `passing` is the usual pace.
-    fn after(before: Option<Self>, now: Instant, percent: u32, passing: Duration) -> Self {
-        let usual_percent = before.map_or(COLD_PERCENT, |seen| seen.usual_percent);
-        let seen = Self {
+    /// Creates the observation that follows `previous`; a slow phase that outlasts `max_slow_phase`
+    /// becomes the baseline.
+    fn following(
+        previous: Option<Self>,
+        now: Instant,
+        percent: u32,
+        max_slow_phase: Duration,
+    ) -> Self {
+        let baseline_percent = previous.map_or(MAX_COLD_PERCENT, |last| last.baseline_percent);
+        let observation = Self {
             percent,
             at: now,
-            usual_percent: usual_percent.min(percent),
+            baseline_percent: baseline_percent.min(percent),
             slow_since: None,
         };
-        if seen.beside_usual() < SLOW_PERCENT {
-            return seen;
+        if observation.relative_percent() < SLOW_THRESHOLD_PERCENT {
+            return observation;
         }
-        let slow_since = before.and_then(|seen| seen.slow_since).unwrap_or(now);
-        if now > slow_since + passing {
+        let slow_since = previous.and_then(|last| last.slow_since).unwrap_or(now);
+        if now > slow_since + max_slow_phase {
             return Self {
-                usual_percent: percent,
-                ..seen
+                baseline_percent: percent,
+                ..observation
             };
         }
         Self {
             slow_since: Some(slow_since),
-            ..seen
+            ..observation
         }
     }
 
-    fn beside_usual(&self) -> u32 {
-        self.percent.saturating_mul(100) / self.usual_percent.max(1)
+    /// Returns the time that work takes, in percent of the baseline.
+    fn relative_percent(&self) -> u32 {
+        self.percent.saturating_mul(100) / self.baseline_percent.max(1)
     }
 }
 
 impl Pace {
-    /// The upstream tells how long work takes on its host, in percent; `None` if it says nothing.
+    /// Records how long work takes on the host, in percent, as reported by the upstream; `None` if
+    /// it reports no speed.
     pub fn observe(&mut self, settings: &Settings, now: Instant, percent: Option<u32>) {
-        let passing = settings.slow_phase * PASSING_PHASES;
-        self.latest = percent.map(|percent| Observation::after(self.latest, now, percent, passing));
+        let max_slow_phase = settings.slow_phase * MAX_SLOW_PHASES;
+        self.latest = percent
+            .map(|percent| Observation::following(self.latest, now, percent, max_slow_phase));
     }
 
-    /// Whether it was told lately enough to begin work by it.
+    /// Whether the last report is recent enough to start work based on it.
     #[must_use]
     pub fn is_fresh(&self, settings: &Settings, now: Instant) -> bool {
         self.latest
-            .is_some_and(|seen| now < seen.at + settings.pace_fresh)
+            .is_some_and(|latest| now < latest.at + settings.pace_fresh)
     }
 
-    /// How long work takes, in percent, as it was told; 0 once that is no longer believed.
+    /// Returns the reported time that work takes, in percent; 0 if there is no unexpired report.
     #[must_use]
     pub fn percent(&self, settings: &Settings, now: Instant) -> u32 {
-        self.believed(settings, now).map_or(0, |seen| seen.percent)
+        self.unexpired(settings, now)
+            .map_or(0, |latest| latest.percent)
     }
 
-    /// How long work takes, in percent of the usual on this host, if it is in a slow phase.
+    /// Returns how long work takes, in percent of the host's baseline, if the host is in a slow
+    /// phase.
     #[must_use]
     pub fn slow_percent(&self, settings: &Settings, now: Instant) -> Option<u32> {
-        let seen = self.believed(settings, now)?;
-        seen.slow_since.map(|_| seen.beside_usual())
+        let latest = self.unexpired(settings, now)?;
+        latest.slow_since.map(|_| latest.relative_percent())
     }
 
-    /// How long work takes that begins now, in percent of the usual on this host.
+    /// Returns how long work takes that starts now, in percent of the host's baseline.
     #[must_use]
     pub fn beside_usual(&self, settings: &Settings, now: Instant) -> u32 {
-        self.slow_percent(settings, now).unwrap_or(USUAL_PERCENT)
+        self.slow_percent(settings, now).unwrap_or(DEFAULT_PERCENT)
     }
 
-    /// When a slow phase is no longer believed, if one was told.
+    /// Returns when the report of a slow phase expires, if the last report is one.
     #[must_use]
     pub fn slow_until(&self, settings: &Settings) -> Option<Instant> {
-        let seen = self.latest.filter(|seen| seen.slow_since.is_some())?;
-        Some(seen.at + settings.slow_phase)
+        let latest = self.latest.filter(|latest| latest.slow_since.is_some())?;
+        Some(latest.at + settings.slow_phase)
     }
 
-    /// What tells whether work that needs so much time begins now, or waits for the end of a slow
-    /// phase because that costs less.
+    /// Returns a predicate on the time that work needs: true if the work should start now, false if
+    /// waiting for the end of the slow phase costs less.
     pub fn beginning(
         &self,
         settings: &Settings,
@@ -122,7 +134,8 @@
         move |needed| slow_loss(percent, needed) <= phase
     }
 
-    /// Extra time of work that needs so much and begins now, or waits for the end of the phase.
+    /// Returns the extra time of work that needs the given time and starts now, or waits for the
+    /// end of the slow phase if that costs less.
     #[must_use]
     pub fn penalty(&self, settings: &Settings, now: Instant, needed: Duration) -> Duration {
         slow_penalty(
@@ -132,9 +145,10 @@
         )
     }
 
-    /// What was told, while it is believed: a phase may have begun or ended since.
-    fn believed(&self, settings: &Settings, now: Instant) -> Option<Observation> {
+    /// Returns the last report unless it is older than a slow phase, as one may have begun or ended
+    /// since.
+    fn unexpired(&self, settings: &Settings, now: Instant) -> Option<Observation> {
         self.latest
-            .filter(|seen| now < seen.at + settings.slow_phase)
+            .filter(|latest| now < latest.at + settings.slow_phase)
     }
 }
--- a/crates/core/src/probe.rs
+++ b/crates/core/src/probe.rs
@@ -1,15 +1,14 @@
-//! What measuring may cost: a token bucket in time of the upstream's slots.
+//! Limits the cost of probes: a token bucket filled with a share of the upstream's slot time.
 
 use std::time::{Duration, Instant};
 
 use crate::configs::probe::Settings;
 
-/// Bucket of upstream time; a probe reserves its worst case before it is sent.
+/// Token bucket of upstream time; every probe reserves its worst case before it is sent.
 ///
-/// Failure: probes that hang. Symptom: each costs its whole timeout, and a budget
-/// that is charged afterwards is overdrawn by all of them. Reserving the timeout
-/// first and refunding what was not used keeps the sum under the budget whatever the
-/// probes do.
+/// Failure: probes hang. Symptom: each costs its whole timeout, and a budget that is charged
+/// afterwards is overdrawn by all of them. Reserving the timeout first and refunding the unused
+/// part keeps the total within the budget whatever the probes do.
 #[derive(Debug)]
 pub struct Budget {
     settings: Settings,
@@ -20,7 +19,7 @@
     spent: Duration,
 }
 
-/// Upstream time reserved for one probe.
+/// Upstream time reserved for one probe; refunded in part by [`Budget::settle`].
 #[derive(Debug)]
 #[must_use = "an unsettled reservation is spent in full"]
 pub struct Reservation {
@@ -28,7 +27,7 @@
 }
 
 impl Budget {
-    /// Starts with one probe's worth, so that a first doubt is settled at once.
+    /// Creates a bucket with enough for one probe, so that the first probe can be sent at once.
     #[must_use]
     pub const fn new(settings: Settings, share: f64, now: Instant) -> Self {
         Self {
@@ -41,22 +40,22 @@
         }
     }
 
-    /// Takes the share of upstream time that the preset in force grants.
+    /// Sets the share of upstream time granted by the preset in force.
     pub fn set_share(&mut self, now: Instant, share: f64) {
         self.refill(now);
         self.share = share;
     }
 
-    /// Takes the number of slots whose time is shared.
+    /// Sets the number of slots of which the share is taken.
     pub fn set_slots(&mut self, now: Instant, slots: u32) {
         self.refill(now);
         self.slots = slots;
     }
 
-    /// Reserves one probe, or tells when there will be enough.
+    /// Reserves the time for one probe.
     ///
     /// # Errors
-    /// The instant at which to ask again; `None` while nothing is earned.
+    /// Returns when the budget will suffice, or `None` if the bucket is not being refilled.
     pub fn reserve(&mut self, now: Instant) -> Result<Reservation, Option<Instant>> {
         self.refill(now);
         let reserved = self.settings.timeout;
@@ -65,17 +64,18 @@
             self.spent += reserved;
             return Ok(Reservation { reserved });
         }
-        if self.earned_share() <= 0.0 {
+        if self.refill_rate() <= 0.0 {
             return Err(None);
         }
         let missing = reserved.saturating_sub(self.tokens);
         Err(Some(
-            now + missing.div_f64(self.earned_share()) + Duration::from_nanos(1),
+            now + missing.div_f64(self.refill_rate()) + Duration::from_nanos(1),
         ))
     }
 
-    /// Gives back what a finished probe did not use; each is charged with the least cost at
-    /// least, since the upstream works on it also where nobody waits.
+    /// Refunds the part of a reservation that a finished probe did not use. Each probe is charged
+    /// with at least the minimum cost, since the upstream's work on a probe is not limited to the
+    /// time that the prober waits for the answer.
     pub fn settle(&mut self, reservation: &Reservation, used: Duration) {
         let used = used.max(self.settings.cost_least);
         let unused = reservation.reserved.saturating_sub(used);
@@ -83,21 +83,21 @@
         self.tokens = (self.tokens + unused).min(self.settings.timeout);
     }
 
-    /// Upstream time spent on probes so far, reservations included.
+    /// Returns the upstream time spent on probes so far, including open reservations.
     #[must_use]
     pub const fn spent(&self) -> Duration {
         self.spent
     }
 
-    /// Slot time earned in a unit of time.
-    fn earned_share(&self) -> f64 {
+    /// Returns the slot time added to the bucket per unit of time.
+    fn refill_rate(&self) -> f64 {
         self.share * f64::from(self.slots)
     }
 
     fn refill(&mut self, now: Instant) {
-        let since = now.duration_since(self.refilled_at);
-        let earned = since.mul_f64(self.earned_share());
-        self.tokens = (self.tokens + earned).min(self.settings.timeout);
+        let elapsed = now.duration_since(self.refilled_at);
+        let refill = elapsed.mul_f64(self.refill_rate());
+        self.tokens = (self.tokens + refill).min(self.settings.timeout);
         self.refilled_at = now;
     }
 }
--- a/crates/core/tests/measuring.rs
+++ b/crates/core/tests/measuring.rs
@@ -1,4 +1,4 @@
-//! What measuring costs: probes only in doubt, and never above the budget.
+//! The cost of probes: they are sent only to a doubtful upstream and never exceed their budget.
 
 use std::time::{Duration, Instant};
 
@@ -17,17 +17,17 @@
     }
 }
 
-/// What the upstream sees: however long each probe takes and however eager the prober,
-/// the upstream time spent stays under the share, beside the first probe.
+/// Guards against probes that overdraw the budget, however long each takes and however often they
+/// are requested: apart from the first probe, the upstream time spent stays within the share.
 #[rstest]
 #[case::normal(Duration::from_millis(6))]
 #[case::fast(Duration::from_micros(100))]
 #[case::hanging(TIMEOUT)]
-fn reserve_keeps_probes_under_the_share(#[case] cost: Duration) {
-    let began = Instant::now();
-    let mut budget = Budget::new(settings(), SHARE, began);
-    let mut now = began;
-    let end = began + Duration::from_mins(10);
+fn reserve_keeps_probes_within_the_share(#[case] cost: Duration) {
+    let started_at = Instant::now();
+    let mut budget = Budget::new(settings(), SHARE, started_at);
+    let mut now = started_at;
+    let end = started_at + Duration::from_mins(10);
     let mut probes = 0;
     while now < end {
         match budget.reserve(now) {
@@ -39,7 +39,7 @@
             Err(at) => now = at.expect("the share is above zero").max(now),
         }
     }
-    let allowed = TIMEOUT + (now - began).mul_f64(SHARE);
+    let allowed = TIMEOUT + (now - started_at).mul_f64(SHARE);
     assert!(probes > 10, "{probes} probes");
     assert!(
         budget.spent() <= allowed,
@@ -48,27 +48,27 @@
     );
 }
 
-/// A quiet time: the upstream is asked how fast its host is before nearly every request. It
-/// answers at once and is charged 6 ms all the same; of twelve slots the questions take no
-/// more than the share, ten a second.
+/// Under light traffic the speed of the upstream's host is checked before nearly every request. It
+/// answers at once, but each check is charged 6 ms; the checks take no more than the share of all
+/// twelve slots, which is ten checks per second.
 #[test]
-fn reserve_keeps_quick_questions_under_the_share_of_all_slots() {
+fn reserve_keeps_quick_checks_within_the_share_of_all_slots() {
     let settings = configs::probe::Settings {
         cost_least: Duration::from_millis(6),
         ..settings()
     };
-    let began = Instant::now();
-    let mut budget = Budget::new(settings, SHARE, began);
-    budget.set_slots(began, 12);
-    let mut asked = 0;
+    let started_at = Instant::now();
+    let mut budget = Budget::new(settings, SHARE, started_at);
+    budget.set_slots(started_at, 12);
+    let mut checks = 0;
     for milli in 0..60_000 {
-        let now = began + Duration::from_millis(milli);
+        let now = started_at + Duration::from_millis(milli);
         if let Ok(reservation) = budget.reserve(now) {
             budget.settle(&reservation, Duration::from_millis(1));
-            asked += 1;
+            checks += 1;
         }
     }
-    assert!((590..=605).contains(&asked), "{asked} questions");
+    assert!((590..=605).contains(&checks), "{checks} checks");
     let allowed = TIMEOUT + Duration::from_mins(1).mul_f64(SHARE * 12.0);
     assert!(budget.spent() <= allowed, "{:?}", budget.spent());
 }
@@ -78,7 +78,7 @@
     let now = Instant::now();
     let mut budget = Budget::new(settings(), SHARE, now);
     budget.set_slots(now, 0);
-    let first = budget.reserve(now).expect("the first is there");
+    let first = budget.reserve(now).expect("the first probe is available");
     budget.settle(&first, TIMEOUT);
     let later = now + Duration::from_hours(1);
     assert_eq!(budget.reserve(later).err(), Some(None));
@@ -88,9 +88,7 @@
 fn reserve_with_no_share_allows_only_the_first() {
     let now = Instant::now();
     let mut budget = Budget::new(settings(), 0.0, now);
-    let first = budget
-        .reserve(now)
-        .expect("a first doubt is settled at once");
+    let first = budget.reserve(now).expect("the first probe is available");
     budget.settle(&first, TIMEOUT);
     assert_eq!(
         budget.reserve(now + Duration::from_hours(1)).err(),
@@ -99,7 +97,7 @@
 }
 
 #[test]
-fn note_asks_for_no_probe_while_the_upstream_answers() {
+fn note_requests_no_probe_while_the_upstream_answers() {
     let now = Instant::now();
     let mut health = Health::new(configs::health::Settings::default());
     for _ in 0..100 {
@@ -113,7 +111,7 @@
 }
 
 #[test]
-fn note_failures_in_a_row_make_doubtful_until_a_probe_answers() {
+fn note_consecutive_failures_make_doubtful_until_a_probe_answers() {
     let now = Instant::now();
     let mut health = Health::new(configs::health::Settings::default());
     for _ in 0..3 {
--- a/crates/core/tests/slow_phases.rs
+++ b/crates/core/tests/slow_phases.rs
@@ -1,12 +1,12 @@
-//! Replays a time in which a quarter of the hosts is slow at any moment.
+//! Simulates a fleet in which a quarter of the hosts is slow at any moment.
 //!
-//! In virtual time: twelve hosts draw every 300 ms anew whether they are four times slower,
-//! with a chance of a quarter. A request takes 120 ms, four times that if it begins in a slow
-//! phase. Hosts are asked in random order, as by entries that know nothing; the last one takes
-//! what all others refused. Requests come evenly, at half of what the slots can take.
+//! In virtual time, each of twelve hosts is redrawn every 300 ms to be four times slower with a
+//! probability of a quarter. A request takes 120 ms, or four times that if it starts in a slow
+//! phase. Hosts are asked in random order, as by nodes without load reports; the last one accepts
+//! what all others refused. Requests arrive at even intervals, at half of the slots' capacity.
 //!
-//! Answers tell the pace; between them an upstream is asked for it within the budget, each
-//! question at 6 ms of a slot.
+//! Answers carry the host's speed; between them an upstream is checked for it within the budget,
+//! and each check costs 6 ms of a slot.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,24 +24,24 @@
 use rand_chacha::ChaCha8Rng;
 
 const HOSTS: usize = 12;
-const SERVICE: Duration = Duration::from_millis(120);
+const SERVICE_TIME: Duration = Duration::from_millis(120);
 const TARGET: Duration = Duration::from_millis(250);
 const DEADLINE: Duration = Duration::from_secs(1);
-const PHASE: u64 = 300;
+const PHASE_MILLIS: u64 = 300;
 const TICK: Duration = Duration::from_millis(1);
-const MILLIS: u64 = 20_000;
-/// Least cost of a question after the pace, and the most that is reserved for one.
-const QUESTION: Duration = Duration::from_millis(6);
-const QUESTION_MOST: Duration = Duration::from_millis(25);
-/// Hosts asked for one request at most.
-const PLACEMENTS: usize = 4;
-
-/// When a host is asked for its pace before a request begins there.
+const DURATION_MILLIS: u64 = 20_000;
+/// Minimum cost of a speed check, and the cost reserved for one.
+const CHECK_COST: Duration = Duration::from_millis(6);
+const MAX_CHECK_COST: Duration = Duration::from_millis(25);
+/// Maximum number of hosts asked for one request.
+const MAX_PLACEMENTS: usize = 4;
+
+/// When a host's speed is checked before a request starts there.
 #[derive(Clone, Copy)]
-enum Asked {
+enum Checks {
     Never,
-    /// Whenever it was not told lately and the share of the slots' time for it is not used up.
-    Within(f64),
+    /// Whenever the last report is stale and the given share of the slots' time is not used up.
+    WithinBudget(f64),
     Always,
 }
 
@@ -51,13 +51,13 @@
     slots: u32,
     percent: u32,
     running: BTreeMap<Id, Instant>,
-    came_at: BTreeMap<Id, Instant>,
+    arrived_at: BTreeMap<Id, Instant>,
 }
 
 impl Host {
-    fn begin(&mut self, now: Instant, id: Id) {
-        let took = SERVICE * self.percent / 100;
-        self.running.insert(id, now + took);
+    fn start(&mut self, now: Instant, id: Id) {
+        let duration = SERVICE_TIME * self.percent / 100;
+        self.running.insert(id, now + duration);
     }
 
     fn load(&self) -> Upstream {
@@ -69,11 +69,11 @@
         }
     }
 
-    fn ask(&mut self, now: Instant, asked: Asked) {
-        let granted = match asked {
-            Asked::Never => false,
-            Asked::Within(_) => !self.admission.knows_pace(now) && self.reserve(now),
-            Asked::Always => true,
+    fn check(&mut self, now: Instant, checks: Checks) {
+        let granted = match checks {
+            Checks::Never => false,
+            Checks::WithinBudget(_) => !self.admission.knows_pace(now) && self.reserve(now),
+            Checks::Always => true,
         };
         if granted {
             let load = self.load();
@@ -85,49 +85,49 @@
         let Ok(reservation) = self.budget.reserve(now) else {
             return false;
         };
-        self.budget.settle(&reservation, QUESTION);
+        self.budget.settle(&reservation, CHECK_COST);
         true
     }
 }
 
-/// Share of the requests that are answered within their target, where hosts have so many slots
-/// and a request comes each so many milliseconds.
-fn play(slots: u32, arrives_every: u64, asked: Asked) -> f64 {
+/// Returns the share of requests answered within their target, for hosts with the given number of
+/// slots and one request per interval.
+fn simulate(slots: u32, interval_millis: u64, checks: Checks) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     let start = Instant::now();
-    let mut hosts: Vec<Host> = (0..HOSTS).map(|_| host(start, slots, asked)).collect();
+    let mut hosts: Vec<Host> = (0..HOSTS).map(|_| host(start, slots, checks)).collect();
     let mut in_time = 0_u32;
-    let mut all = 0_u32;
-    for milli in 0..MILLIS {
+    let mut total = 0_u32;
+    for milli in 0..DURATION_MILLIS {
         let now = start + TICK * u32::try_from(milli).unwrap_or(u32::MAX);
         for host in &mut hosts {
-            if milli % PHASE == 0 {
+            if milli % PHASE_MILLIS == 0 {
                 host.percent = if rng.random::<f64>() < 0.25 { 400 } else { 100 };
             }
-            in_time += finish(host, now, asked);
-            settle(host, now);
+            in_time += finish(host, now, checks);
+            start_admitted(host, now);
         }
-        if milli % arrives_every == 0 {
-            all += 1;
-            arrive(&mut hosts, &mut rng, now, Id(milli), asked);
+        if milli % interval_millis == 0 {
+            total += 1;
+            arrive(&mut hosts, &mut rng, now, Id(milli), checks);
         }
     }
-    f64::from(in_time) / f64::from(all)
+    f64::from(in_time) / f64::from(total)
 }
 
-fn host(start: Instant, slots: u32, asked: Asked) -> Host {
+fn host(start: Instant, slots: u32, checks: Checks) -> Host {
     let settings = Settings {
-        service_time_initial: SERVICE,
-        slow_phase: Duration::from_millis(PHASE),
+        service_time_initial: SERVICE_TIME,
+        slow_phase: Duration::from_millis(PHASE_MILLIS),
         ..Settings::default()
     };
     let probe = probe::Settings {
-        timeout: QUESTION_MOST,
-        cost_least: QUESTION,
+        timeout: MAX_CHECK_COST,
+        cost_least: CHECK_COST,
     };
-    let share = match asked {
-        Asked::Within(share) => share,
-        Asked::Never | Asked::Always => 0.0,
+    let share = match checks {
+        Checks::WithinBudget(share) => share,
+        Checks::Never | Checks::Always => 0.0,
     };
     let mut budget = Budget::new(probe, share, start);
     budget.set_slots(start, slots - 1);
@@ -137,12 +137,12 @@
         slots,
         percent: 100,
         running: BTreeMap::new(),
-        came_at: BTreeMap::new(),
+        arrived_at: BTreeMap::new(),
     }
 }
 
-/// Ends what is done; returns how many of them met their target.
-fn finish(host: &mut Host, now: Instant, asked: Asked) -> u32 {
+/// Finishes the requests that are done; returns how many of them met their target.
+fn finish(host: &mut Host, now: Instant, checks: Checks) -> u32 {
     let done: Vec<Id> = host
         .running
         .iter()
@@ -152,33 +152,37 @@
     let mut in_time = 0;
     for id in done {
         host.running.remove(&id);
-        if matches!(asked, Asked::Within(_)) {
+        if matches!(checks, Checks::WithinBudget(_)) {
             let load = host.load();
             host.admission.observe_load(now, &load);
         }
         host.admission.answered(now, id, Answer::Served);
         host.admission.finish(id);
-        let came_at = host.came_at.remove(&id).expect("it came");
-        in_time += u32::from(now <= came_at + TARGET);
+        let arrived_at = host
+            .arrived_at
+            .remove(&id)
+            .expect("every running request has arrived");
+        in_time += u32::from(now <= arrived_at + TARGET);
     }
     in_time
 }
 
-fn settle(host: &mut Host, now: Instant) {
+/// Starts the queued requests that are admitted now.
+fn start_admitted(host: &mut Host, now: Instant) {
     while let Some(action) = host.admission.poll(now) {
         if let Action::Admit(id) = action {
-            host.begin(now, id);
+            host.start(now, id);
         }
     }
 }
 
-fn arrive(hosts: &mut [Host], rng: &mut ChaCha8Rng, now: Instant, id: Id, asked: Asked) {
+fn arrive(hosts: &mut [Host], rng: &mut ChaCha8Rng, now: Instant, id: Id, checks: Checks) {
     let mut order: Vec<usize> = (0..HOSTS).collect();
     order.shuffle(rng);
-    order.truncate(PLACEMENTS);
-    for (place, index) in order.iter().enumerate() {
+    order.truncate(MAX_PLACEMENTS);
+    for (position, index) in order.iter().enumerate() {
         let host = &mut hosts[*index];
-        host.ask(now, asked);
+        host.check(now, checks);
         let arrival = Arrival {
             id,
             client_account: Arc::from("client_account"),
@@ -186,40 +190,39 @@
             target: now + TARGET,
             priority: 0,
             route: Arc::from("route"),
-            only_in_time: place + 1 < order.len(),
+            only_in_time: position + 1 < order.len(),
         };
         let decision = host.admission.arrive(now, arrival, 1.0);
         if matches!(decision, Decision::Refuse(_)) {
             continue;
         }
-        host.came_at.insert(id, now);
+        host.arrived_at.insert(id, now);
         if decision == Decision::Admit {
-            host.begin(now, id);
+            host.start(now, id);
         }
         return;
     }
 }
 
-/// What callers see: where work begins on any host alike, a quarter of it is slow to its end
-/// and misses its target. Where a host is asked first and a slow one sends the request on,
-/// nearly all of it is in time.
+/// Guards against starting work on slow hosts: without checks a quarter of the requests start in a
+/// slow phase, stay slow to the end and miss their target. If each host is checked first and a slow
+/// one refuses, nearly all requests are in time.
 #[test]
 fn arrive_keeps_work_off_slow_hosts() {
-    let before = play(12, 2, Asked::Never);
-    let after = play(12, 2, Asked::Always);
-    assert!(before < 0.80, "{before}");
-    assert!(after > 0.98, "{after}");
+    let unchecked = simulate(12, 2, Checks::Never);
+    let checked = simulate(12, 2, Checks::Always);
+    assert!(unchecked < 0.80, "{unchecked}");
+    assert!(checked > 0.98, "{checked}");
 }
 
-/// Upstreams of six slots earn little time for questions: at half a hundredth of it one is asked
-/// once in a phase, and work begins on hosts that turned slow since. Callers see it as late
-/// answers: 42 in 1,000 against 31 at two hundredths, and 14 if each request were preceded by a
-/// question.
+/// Guards against a check budget that is too small for upstreams with six slots: at a share of 0.5%
+/// a host is checked once per phase, and work starts on hosts that have turned slow since. Late
+/// answers: 42 in 1,000, against 31 at 2% and 14 if every request is preceded by a check.
 #[test]
-fn budget_for_questions_suits_small_upstreams() {
-    let scarce = play(6, 4, Asked::Within(0.005));
-    let default = play(6, 4, Asked::Within(Preset::default().probe_share));
-    let always = play(6, 4, Asked::Always);
+fn check_budget_suits_small_upstreams() {
+    let scarce = simulate(6, 4, Checks::WithinBudget(0.005));
+    let default = simulate(6, 4, Checks::WithinBudget(Preset::default().probe_share));
+    let always = simulate(6, 4, Checks::Always);
     assert!(scarce < 0.960, "{scarce}");
     assert!(default > 0.965, "{default}");
     assert!(always > 0.98, "{always}");
