--- a/crates/core/src/configs/warm_up.rs
+++ b/crates/core/src/configs/warm_up.rs
@@ -1,15 +1,16 @@
-//! Settings of the bound on cold upstreams.
+//! Settings for the rate limit of cold upstreams.
 
 use serde::{Deserialize, Serialize};
 
-/// Settings of [`crate::warm_up`].
+/// Settings for [`crate::warm_up`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Requests a second that a cold upstream bears, where the routing table names no rate for its
-    /// service; without either there is no bound.
+    /// Requests per second that a cold upstream sustains, unless the routing table sets a rate for
+    /// its service; without either there is no limit.
     pub requests_per_second: Option<f64>,
-    /// Factor on that rate: the most requests that may start in a cold upstream within any second.
+    /// Factor applied to that rate, which gives the maximum number of requests that may start in a
+    /// cold upstream within any second.
     pub rate_factor: f64,
 }
 
--- a/crates/core/src/warm_up.rs
+++ b/crates/core/src/warm_up.rs
@@ -1,71 +1,74 @@
-//! How many requests may start in a cold upstream.
+//! Limits the rate at which requests start in a cold upstream.
 //!
-//! Load pattern: an upstream that has just started, or has lost its caches while it runs, bears a
-//! fraction of its usual rate for some seconds and crashes above it. Restarted it is cold again, so
-//! a fleet that loses power and sends at the usual rate never comes back. Weights and limits on
-//! concurrency do not help: the rate follows the total load, and cold work ends early when it fails.
+//! Load pattern: an upstream that has just started, or has lost its caches while running, sustains
+//! only a fraction of its usual rate for a few seconds and crashes above it. After the restart it
+//! is cold again, so a fleet that loses power and receives the usual rate never recovers. Weights
+//! and concurrency limits do not help: the rate follows the total load, and cold work that fails
+//! ends early and frees its slot.
 //!
-//! So starts are counted over any second. A warm upstream may turn cold at any moment and says so
-//! only when it is asked. Until it has confirmed that it is warm, requests started since the last
-//! confirmation are bounded as well; it is asked again long before that bound is reached.
+//! Starts are therefore counted over a sliding window of one second. A warm upstream may turn cold
+//! at any moment and reports that only when it is checked. Until it confirms that it is warm,
+//! requests started since the last confirmation are bounded as well; the next check is sent long
+//! before that bound is reached.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use crate::configs::warm_up::Settings;
 
-/// The span over which starts are counted.
+/// Window over which starts are counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// The upstream is asked again after this part of a second's starts.
-const CHECK_PART: u32 = 4;
-/// Part of a second's starts allowed right after this process began: those of the process before
-/// it, which may have ended within the same second, are not known.
-const FIRST_PART: u32 = 3;
+/// The upstream is checked again after the starts allowed per second divided by this.
+const CHECK_DIVISOR: u32 = 4;
+/// Divisor of the starts allowed per second right after this process began: the starts of its
+/// predecessor, which may have ended within the same second, are not known.
+const STARTUP_DIVISOR: u32 = 3;
 
-/// Starts in one upstream, and whether it is cold. By default there is no bound.
+/// Recent starts in one upstream, and whether it is cold. By default there is no bound.
 #[derive(Debug, Default)]
 pub struct WarmUp {
     settings: Settings,
-    /// Requests a second that a cold upstream bears; `None` if it has no bound.
+    /// Requests per second that a cold upstream sustains; `None` if there is no bound.
     rate: Option<f64>,
-    /// Starts of an earlier process may count until this moment.
-    unknown_until: Option<Instant>,
+    /// Starts by the previous process may be within the window until this moment.
+    previous_starts_until: Option<Instant>,
     cold_until: Option<Instant>,
-    /// The upstream was warm at this moment.
+    /// When the upstream was last confirmed to be warm, unless that has been invalidated.
     warm_at: Option<Instant>,
-    /// When the newest question that was answered was asked.
-    asked_at: Option<Instant>,
-    /// Starts within the last second.
+    /// When the newest check that was answered was sent.
+    checked_at: Option<Instant>,
+    /// Starts within the window.
     starts: VecDeque<Instant>,
-    /// Starts since the upstream was last asked.
-    unchecked: usize,
+    /// Starts since the newest check that was answered.
+    starts_since_check: usize,
 }
 
 impl WarmUp {
-    /// An upstream of which nothing is known, beside a process that begins now.
+    /// Creates the state for an upstream of unknown state, in a process that starts now.
     #[must_use]
     pub fn new(settings: Settings, now: Instant) -> Self {
         Self {
             rate: settings.requests_per_second,
             settings,
-            unknown_until: Some(now + WINDOW),
+            previous_starts_until: Some(now + WINDOW),
             ..Self::default()
         }
     }
 
-    /// Takes the rate that a cold upstream bears, in requests a second; `None` leaves the one of
-    /// the settings.
+    /// Sets the rate that a cold upstream sustains, in requests per second; `None` selects the one
+    /// from the settings.
     pub fn set_rate(&mut self, rate: Option<f64>) {
         self.rate = rate.or(self.settings.requests_per_second);
     }
 
-    /// The upstream said how much longer it stays cold, in answer to a question of `asked_at`.
+    /// Records how much longer the upstream stays cold, as answered to a check sent at `asked_at`.
     pub fn answered(&mut self, asked_at: Instant, now: Instant, cold_for: Duration) {
-        if self.asked_at.is_some_and(|newest| asked_at < newest) {
+        if self.checked_at.is_some_and(|newest| asked_at < newest) {
             return;
         }
-        self.asked_at = Some(asked_at);
-        self.unchecked = self.starts.len() - self.starts.partition_point(|at| *at <= asked_at);
+        self.checked_at = Some(asked_at);
+        self.starts_since_check =
+            self.starts.len() - self.starts.partition_point(|at| *at <= asked_at);
         if cold_for.is_zero() {
             self.cold_until = None;
             self.warm_at = Some(asked_at);
@@ -75,8 +78,8 @@
         }
     }
 
-    /// The upstream announced how much longer it stays cold. An announcement may be seconds late,
-    /// so it never proves that the upstream is warm.
+    /// Records how much longer the upstream stays cold, as announced by it. An announcement may be
+    /// seconds old, so it never proves that the upstream is warm.
     pub fn announced(&mut self, now: Instant, cold_for: Duration) {
         if !cold_for.is_zero() {
             let until = now + cold_for;
@@ -85,15 +88,16 @@
         }
     }
 
-    /// The upstream has started again; starts in the instance before do not count.
+    /// Resets the state after a restart of the upstream; starts in the previous instance do not
+    /// count.
     pub fn restarted(&mut self) {
         self.cold_until = None;
         self.warm_at = None;
         self.starts.clear();
-        self.unchecked = 0;
+        self.starts_since_check = 0;
     }
 
-    /// A request starts in the upstream.
+    /// Records that a request starts in the upstream.
     pub fn started(&mut self, now: Instant) {
         if self.rate.is_none() {
             return;
@@ -102,7 +106,7 @@
             self.starts.pop_front();
         }
         self.starts.push_back(now);
-        self.unchecked += 1;
+        self.starts_since_check += 1;
     }
 
     /// Whether the upstream is known to be cold.
@@ -111,60 +115,61 @@
         self.rate.is_some() && self.cold_until.is_some_and(|until| now < until)
     }
 
-    /// Whether the upstream has to be asked how long it stays cold.
+    /// Whether the upstream must be asked how much longer it stays cold.
     #[must_use]
     pub fn is_check_due(&self, now: Instant) -> bool {
         if self.rate.is_none() {
             return false;
         }
         let unknown = self.warm_at.is_none() && !self.is_cold(now);
-        let check_after = usize::try_from(self.allowed() / CHECK_PART).unwrap_or(usize::MAX);
-        unknown || self.unchecked >= check_after.max(1)
+        let check_after = usize::try_from(self.max_starts() / CHECK_DIVISOR).unwrap_or(usize::MAX);
+        unknown || self.starts_since_check >= check_after.max(1)
     }
 
-    /// When the next request may start; `None` if it may at once.
+    /// Returns when the next request may start; `None` if it may start at once.
     #[must_use]
     pub fn next_start(&self, now: Instant) -> Option<Instant> {
         self.rate?;
         let counted_since = self.counted_since(now);
-        let passed = self.starts.partition_point(|at| *at <= counted_since);
-        let allowed = usize::try_from(self.allowed_at(now)).unwrap_or(usize::MAX);
-        let blocking = (self.starts.len() - passed).checked_sub(allowed)?;
-        self.starts.get(passed + blocking).map(|at| *at + WINDOW)
+        let uncounted = self.starts.partition_point(|at| *at <= counted_since);
+        let max_starts = usize::try_from(self.max_starts_at(now)).unwrap_or(usize::MAX);
+        let excess = (self.starts.len() - uncounted).checked_sub(max_starts)?;
+        self.starts.get(uncounted + excess).map(|at| *at + WINDOW)
     }
 
-    /// What was known of the upstream may no longer hold: a question is due, and until it is answered
-    /// starts are bounded as if it were cold.
+    /// Invalidates the last confirmation that the upstream is warm: a check becomes due, and until
+    /// it is answered starts are bounded as if the upstream were cold.
     pub fn doubt(&mut self) {
         self.warm_at = None;
     }
 
-    /// Requests a second that the upstream bears, if it is known to be cold.
+    /// Returns the requests per second that the upstream sustains, if it is known to be cold.
     #[must_use]
     pub fn rate(&self, now: Instant) -> Option<f64> {
-        self.is_cold(now).then(|| f64::from(self.allowed()))
+        self.is_cold(now).then(|| f64::from(self.max_starts()))
     }
 
-    /// Starts before this moment do not count: they are over a second old, or were followed by a
-    /// proof that the upstream was warm.
+    /// Returns the moment up to which starts do not count: they are over a second old, or were
+    /// followed by a confirmation that the upstream was warm.
     fn counted_since(&self, now: Instant) -> Instant {
         let window = now.checked_sub(WINDOW).unwrap_or(now);
-        self.warm_at.map_or(window, |warm| warm.max(window))
+        self.warm_at.map_or(window, |warm_at| warm_at.max(window))
     }
 
-    /// Starts allowed in any second.
+    /// Returns the maximum number of starts in any second.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    fn allowed(&self) -> u32 {
+    fn max_starts(&self) -> u32 {
         let rate = self.rate.unwrap_or(f64::INFINITY) * self.settings.rate_factor;
         (rate as u32).max(1)
     }
 
-    fn allowed_at(&self, now: Instant) -> u32 {
-        let unknown = self.unknown_until.is_some_and(|until| now < until);
+    /// Returns the maximum number of starts in the second before `now`.
+    fn max_starts_at(&self, now: Instant) -> u32 {
+        let unknown = self.previous_starts_until.is_some_and(|until| now < until);
         if unknown && self.warm_at.is_none() {
-            (self.allowed() / FIRST_PART).max(1)
+            (self.max_starts() / STARTUP_DIVISOR).max(1)
         } else {
-            self.allowed()
+            self.max_starts()
         }
     }
 }
--- a/crates/core/tests/warm_up.rs
+++ b/crates/core/tests/warm_up.rs
@@ -1,4 +1,4 @@
-//! Starts in a cold upstream, and a fleet that loses all power under load.
+//! Starts in a cold upstream, and a fleet that loses power under load.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const MILLI: Duration = Duration::from_millis(1);
-/// Requests a second that a cold upstream bears.
+/// Requests per second that a cold upstream sustains.
 const RATE: f64 = 16.0;
-/// More starts than this in any second end a cold upstream.
-const BORNE: usize = 32;
+/// A cold upstream crashes if more requests than this start in any second.
+const MAX_COLD_STARTS: usize = 32;
 const COLD_FOR: Duration = Duration::from_secs(3);
 
 fn settings() -> Settings {
@@ -26,27 +26,28 @@
     }
 }
 
-/// Most starts in any second.
+/// Returns the maximum number of starts in any second.
 fn busiest_second(starts: &[Instant]) -> usize {
-    let within = |(i, at): (usize, &Instant)| {
+    let count_from = |(i, at): (usize, &Instant)| {
         let end = starts.partition_point(|other| *other < *at + SECOND);
         end - i
     };
-    starts.iter().enumerate().map(within).max().unwrap_or(0)
+    starts.iter().enumerate().map(count_from).max().unwrap_or(0)
 }
 
-/// Starts whatever may start, once a millisecond, and asks the upstream whenever that is due.
+/// Starts a request every millisecond if one may start, and checks the upstream whenever a check is
+/// due. Returns when the requests started.
 fn run(
     warm_up: &mut WarmUp,
     from: Instant,
     until: Instant,
     cold_for: impl Fn(Instant) -> Duration,
 ) -> Vec<Instant> {
-    const ANSWER_TAKES: Duration = Duration::from_millis(5);
+    const CHECK_LATENCY: Duration = Duration::from_millis(5);
     let (mut starts, mut asked_at) = (Vec::new(), None);
     let mut now = from;
     while now < until {
-        if let Some(at) = asked_at.filter(|at| now >= *at + ANSWER_TAKES) {
+        if let Some(at) = asked_at.filter(|at| now >= *at + CHECK_LATENCY) {
             warm_up.answered(at, now, cold_for(at));
             asked_at = None;
         }
@@ -62,7 +63,7 @@
     starts
 }
 
-/// Guards against a cold upstream getting more than it bears in a second that spans two counts.
+/// Guards against a cold upstream getting more than it sustains in a second that spans two windows.
 #[test]
 fn started_cold_from_the_start() {
     let t0 = Instant::now();
@@ -73,14 +74,14 @@
         until.saturating_duration_since(now)
     });
     assert!(
-        busiest_second(&starts) <= BORNE,
+        busiest_second(&starts) <= MAX_COLD_STARTS,
         "{}",
         busiest_second(&starts)
     );
     assert!(starts.len() >= 32, "{} in three seconds", starts.len());
 }
 
-/// Guards against an upstream that turns cold without a word under full load.
+/// Guards against overloading an upstream that turns cold under full load without announcing it.
 #[rstest]
 fn started_turned_cold_unannounced(#[values(0, 3, 17, 250, 800)] at_millis: u64) {
     let t0 = Instant::now();
@@ -95,59 +96,73 @@
     };
     let starts = run(&mut warm_up, t0, cold_at + COLD_FOR, cold_for);
     let cold: Vec<Instant> = starts.into_iter().filter(|at| *at >= cold_at).collect();
-    assert!(busiest_second(&cold) <= BORNE, "{}", busiest_second(&cold));
+    assert!(
+        busiest_second(&cold) <= MAX_COLD_STARTS,
+        "{}",
+        busiest_second(&cold)
+    );
 }
 
-/// Guards against a second cold spell right after the first.
+/// Guards against overloading an upstream that turns cold a second time right after the first.
 #[test]
-fn started_two_cold_spells_in_a_row() {
+fn started_two_cold_phases_in_a_row() {
     let t0 = Instant::now();
     let mut warm_up = WarmUp::new(settings(), t0);
-    let spells = [t0 + SECOND, t0 + 5 * SECOND];
+    let cold_phases = [t0 + SECOND, t0 + 5 * SECOND];
     let cold_for = |now: Instant| {
-        let spell = spells.iter().rev().find(|at| now >= **at);
-        spell.map_or(Duration::ZERO, |at| {
+        let cold_at = cold_phases.iter().rev().find(|at| now >= **at);
+        cold_at.map_or(Duration::ZERO, |at| {
             (*at + COLD_FOR).saturating_duration_since(now)
         })
     };
     let starts = run(&mut warm_up, t0, t0 + 9 * SECOND, cold_for);
-    for spell in spells {
-        let cold = |at: &&Instant| **at >= spell && **at < spell + COLD_FOR;
+    for cold_at in cold_phases {
+        let cold = |at: &&Instant| **at >= cold_at && **at < cold_at + COLD_FOR;
         let cold: Vec<Instant> = starts.iter().filter(cold).copied().collect();
-        assert!(busiest_second(&cold) <= BORNE, "{}", busiest_second(&cold));
+        assert!(
+            busiest_second(&cold) <= MAX_COLD_STARTS,
+            "{}",
+            busiest_second(&cold)
+        );
     }
 }
 
-/// Guards against a node that is killed and back within a second forgetting what it has sent.
+/// Guards against a node that is killed and restarted within a second: it has lost the count of the
+/// requests that it started before.
 #[rstest]
-fn started_node_starts_again(
+fn started_node_restarts(
     #[values(1, 120, 350, 700, 999)] killed_after: u64,
-    #[values(1, 90, 400)] back_after: u64,
+    #[values(1, 90, 400)] restarted_after: u64,
     #[values(1.0, 1.5)] rate_factor: f64,
 ) {
     let settings = || Settings {
         rate_factor,
         ..settings()
     };
-    let begun_at = Instant::now();
-    let mut before = WarmUp::new(settings(), begun_at);
-    let t0 = begun_at + SECOND;
+    let started_at = Instant::now();
+    let mut before = WarmUp::new(settings(), started_at);
+    let t0 = started_at + SECOND;
     let cold_until = t0 + 10 * SECOND;
     let cold_for = |now: Instant| cold_until.saturating_duration_since(now);
     before.announced(t0, COLD_FOR);
     let killed_at = t0 + Duration::from_millis(killed_after);
     let mut starts = run(&mut before, t0, killed_at, cold_for);
-    let back_at = killed_at + Duration::from_millis(back_after);
-    let mut after = WarmUp::new(settings(), back_at);
-    starts.extend(run(&mut after, back_at, back_at + 2 * SECOND, cold_for));
+    let restarted_at = killed_at + Duration::from_millis(restarted_after);
+    let mut after = WarmUp::new(settings(), restarted_at);
+    starts.extend(run(
+        &mut after,
+        restarted_at,
+        restarted_at + 2 * SECOND,
+        cold_for,
+    ));
     assert!(
-        busiest_second(&starts) <= BORNE,
+        busiest_second(&starts) <= MAX_COLD_STARTS,
         "{}",
         busiest_second(&starts)
     );
 }
 
-/// Guards against a late announcement, or a late answer to an older question, ending a warm-up.
+/// Guards against a late announcement, or a late answer to an older check, ending a warm-up.
 #[test]
 fn answered_out_of_order() {
     let t0 = Instant::now();
@@ -158,7 +173,7 @@
     assert!(warm_up.is_cold(t0 + 40 * MILLI));
 }
 
-/// Guards against a bound where the upstream has none.
+/// Guards against a limit on an upstream without a configured rate.
 #[test]
 fn next_start_without_a_rate() {
     let t0 = Instant::now();
@@ -169,7 +184,8 @@
     assert!(!warm_up.is_check_due(t0));
 }
 
-/// An upstream that works on requests for a while each and ends when it is cold and gets too much.
+/// An upstream that works on each request for a fixed time, and crashes when it is cold and too
+/// many requests start. It has the admission of the node beside it.
 struct Host {
     admission: Admission,
     bounded: bool,
@@ -182,8 +198,8 @@
 }
 
 impl Host {
-    const WORK: Duration = Duration::from_millis(65);
-    const DOWN_FOR: Duration = Duration::from_secs(1);
+    const SERVICE_TIME: Duration = Duration::from_millis(65);
+    const RESTART_DELAY: Duration = Duration::from_secs(1);
 
     fn new(now: Instant, bounded: bool) -> Self {
         let settings = AdmissionSettings {
@@ -209,7 +225,7 @@
         host
     }
 
-    /// The upstream starts, cold.
+    /// Starts the upstream in the cold state.
     fn start(&mut self, now: Instant) {
         self.cold_until = now + COLD_FOR;
         self.starts.clear();
@@ -225,17 +241,21 @@
         }
         self.starts.push_back(now);
         let cold = now < self.cold_until;
-        if cold && self.starts.len() > BORNE {
+        if cold && self.starts.len() > MAX_COLD_STARTS {
             self.crashes += 1;
-            self.down_until = Some(now + Self::DOWN_FOR);
+            self.down_until = Some(now + Self::RESTART_DELAY);
             for (_, id) in self.running.drain(..) {
                 self.admission.finish(id);
             }
             self.admission.finish(id);
             return;
         }
-        let work = if cold { Self::WORK * 2 } else { Self::WORK };
-        self.running.push((now + work, id));
+        let duration = if cold {
+            Self::SERVICE_TIME * 2
+        } else {
+            Self::SERVICE_TIME
+        };
+        self.running.push((now + duration, id));
     }
 
     fn arrive(&mut self, now: Instant, id: Id) {
@@ -266,9 +286,9 @@
                 .warm_up_mut()
                 .answered(now, now, Duration::ZERO);
         }
-        let due = |(at, _): &(Instant, Id)| *at <= now;
-        let done: Vec<(Instant, Id)> = self.running.iter().copied().filter(due).collect();
-        self.running.retain(|running| !due(running));
+        let is_done = |(at, _): &(Instant, Id)| *at <= now;
+        let done: Vec<(Instant, Id)> = self.running.iter().copied().filter(is_done).collect();
+        self.running.retain(|running| !is_done(running));
         for (_, id) in done {
             self.admission.answered(now, id, Answer::Served);
             self.admission.finish(id);
@@ -282,19 +302,20 @@
     }
 }
 
-/// All upstreams of a service have lost power and start together, under the load that they bear
-/// warm. Returns how many ended again, and the requests served in the third second after the warm-up.
-fn loss_of_all_power(bounded: bool) -> (usize, usize) {
+/// Simulates a service whose upstreams have all lost power and start together, under the load that
+/// they sustain when warm. Returns the number of crashes, and the requests served in the third
+/// second after the warm-up.
+fn simulate_power_loss(bounded: bool) -> (usize, usize) {
     const HOSTS: usize = 16;
-    const PER_SECOND: u64 = 650;
+    const REQUESTS_PER_SECOND: u64 = 650;
     let t0 = Instant::now();
     let mut hosts: Vec<Host> = (0..HOSTS).map(|_| Host::new(t0, bounded)).collect();
     let (mut arrived, mut now) = (0, t0);
     let end = t0 + COLD_FOR + 3 * SECOND;
     while now < end {
         let elapsed = u64::try_from(now.duration_since(t0).as_millis()).expect("seconds");
-        while arrived < elapsed * PER_SECOND / 1000 {
-            // Each fourth request goes to a host off the even turn: load is never quite even.
+        while arrived < elapsed * REQUESTS_PER_SECOND / 1000 {
+            // Every fourth request leaves the round-robin order, since load is never quite even.
             let host = if arrived % 4 == 0 {
                 arrived * 7
             } else {
@@ -310,24 +331,27 @@
         now += MILLI;
     }
     let crashes = hosts.iter().map(|host| host.crashes).sum();
-    let lately = |at: &&Instant| **at + SECOND >= end;
-    let served = hosts.iter().flat_map(|host| &host.served).filter(lately);
+    let in_last_second = |at: &&Instant| **at + SECOND >= end;
+    let served = hosts
+        .iter()
+        .flat_map(|host| &host.served)
+        .filter(in_last_second);
     (crashes, served.count())
 }
 
-/// Guards against upstreams that end under load while cold, come back cold, and end again.
+/// Guards against upstreams that crash under load while cold, restart cold, and crash again.
 #[rstest]
 #[case::unbounded(false)]
 #[case::bounded(true)]
-fn admit_after_a_loss_of_all_power(#[case] bounded: bool) {
-    let (crashes, served) = loss_of_all_power(bounded);
+fn admit_after_a_power_loss(#[case] bounded: bool) {
+    let (crashes, served) = simulate_power_loss(bounded);
     if bounded {
         assert_eq!(crashes, 0);
         assert!(served >= 600, "{served} of 650 a second");
     } else {
         assert!(
             crashes > 16,
-            "{crashes} crashes: the load is not what it guards against"
+            "{crashes} crashes: the load is too low to provoke the failure"
         );
         assert!(served < 500, "{served} of 650 a second");
     }
