--- a/crates/core/src/configs/quarantine.rs
+++ b/crates/core/src/configs/quarantine.rs
@@ -1,4 +1,4 @@
-//! Settings of requests that end upstreams.
+//! Settings for the quarantine of requests that crash upstreams.
 
 use std::time::Duration;
 
@@ -8,25 +8,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Upstreams that have to end under a request before it is held back. One end is met by every
-    /// request that was in progress there, two by one that was tried again; a third that nothing
-    /// else explains is seldom chance.
+    /// Minimum number of upstream crashes before a request is quarantined. Every request in
+    /// progress at a crash has one, and a request that was retried may have two; a third that no
+    /// other request explains is rarely chance.
     pub ends_least: usize,
-    /// A request that is held back is tried once after this: by then upstreams that ended are
-    /// back, and callers who repeat within seconds have given up.
+    /// Time from the start of the quarantine to the first trial. By then crashed upstreams have
+    /// restarted, and callers that retry within seconds have given up.
     #[serde(with = "humantime_serde")]
     pub trial_after: Duration,
-    /// Time from the first trial to the second; each later one waits twice as long.
+    /// Time from the first trial to the second; it doubles for each later trial.
     #[serde(with = "humantime_serde")]
     pub trial_again_after: Duration,
-    /// Longest time between two trials.
+    /// Maximum time between two trials.
     #[serde(with = "humantime_serde")]
     pub trial_pause_most: Duration,
-    /// How long a request is remembered after the last end or trial; longer than the longest time
-    /// between two trials, so that none is forgotten while it is still sent.
+    /// Time for which a request is remembered after its last crash or trial. It exceeds the
+    /// maximum time between two trials, so that no request is forgotten while callers still send
+    /// it.
     #[serde(with = "humantime_serde")]
     pub remember_for: Duration,
-    /// Requests remembered; each costs some hundred bytes of memory.
+    /// Maximum number of requests remembered; each takes a few hundred bytes of memory.
     pub suspects_most: usize,
 }
 
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,21 +1,21 @@
-//! What a caller is told when it does not get the upstream's answer.
+//! Outcome and reason sent to a caller that does not get the upstream's response.
 
 use std::time::Instant;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether the request may have had an effect.
+/// Whether a request may have had an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The request was never handed to an upstream and never will be.
+    /// The request was not run by an upstream and will not be.
     NotRun,
-    /// The request was handed over, or may have been; its effect is not known.
+    /// The request was sent to an upstream, or may have been; its effect is unknown.
     Unknown,
 }
 
 impl Outcome {
-    /// The form used in headers and problem details.
+    /// Returns the form used in headers and problem details.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -25,25 +25,25 @@
     }
 }
 
-/// Why a request was given up on.
+/// Reason for which a request was refused or abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// All slots and the client account's part of the queue are taken.
+    /// All slots are in use and the client account's share of the queue is full.
     Busy,
-    /// The deadline has passed or cannot be met.
+    /// The request's deadline has passed or cannot be met.
     Deadline,
-    /// The answer would come later than its target, and another host may be quicker.
+    /// The response would miss its target latency, and another host may be faster.
     Late,
-    /// The host is leaving and takes nothing new.
+    /// The host is draining and accepts no new requests.
     Leaving,
-    /// The host's availability zone is evacuated.
+    /// The host's availability zone has been evacuated.
     Evacuated,
-    /// The upstream keeps failing and is being checked.
+    /// The upstream has failed repeatedly and is being probed.
     Doubtful,
-    /// The upstream has not announced itself, or not lately.
+    /// The upstream has not announced itself, or its last announcement has expired.
     Unannounced,
-    /// The node was frozen and has not heard from the others since.
+    /// The node was suspended and has not exchanged state with other nodes since.
     Stale,
     /// No host offers the service.
     NoUpstream,
@@ -51,28 +51,28 @@
     StoreUnavailable,
     /// The idempotency key was used before.
     Duplicate,
-    /// The connection to the node or upstream broke before the answer.
+    /// The connection to the node or the upstream broke before the response.
     LinkLost,
     /// The upstream did not accept a connection.
     Unreachable,
-    /// The request is malformed or misses a required header.
+    /// The request is malformed or lacks a required header.
     BadRequest,
-    /// The upstream itself said that it did not run the request.
+    /// The upstream reported that it did not run the request.
     Shed,
-    /// Another instance of the upstream stands at the address.
+    /// Another instance of the upstream than expected is listening at the address.
     Misdirected,
-    /// What came back is not the answer to this request.
+    /// The response received belongs to another request.
     ForeignAnswer,
-    /// No routing table is known yet.
+    /// The node has no routing table yet.
     Unconfigured,
     /// The routing table has no route for the request.
     NoRoute,
-    /// Upstreams ended while they ran it.
+    /// The request is in quarantine: upstreams crashed while they ran it.
     Quarantined,
 }
 
 impl Reason {
-    /// Every reason, for metrics with a bounded label set.
+    /// All reasons, for metrics with a bounded label set.
     pub const ALL: [Self; 20] = [
         Self::Busy,
         Self::Deadline,
@@ -96,7 +96,7 @@
         Self::Quarantined,
     ];
 
-    /// The form used in headers, problem details and metrics.
+    /// Returns the form used in headers, problem details and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -123,13 +123,13 @@
         }
     }
 
-    /// Reads the form written by [`Reason::as_str`].
+    /// Parses the form written by [`Reason::as_str`].
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|reason| reason.as_str() == text)
     }
 
-    /// Whether another host might take a request refused for this reason.
+    /// Returns whether the reason concerns one host only, so that another may accept the request.
     #[must_use]
     pub const fn is_local(self) -> bool {
         matches!(
@@ -149,19 +149,19 @@
     }
 }
 
-/// A final answer given in place of the upstream's.
+/// Response that the load balancer gives in place of the upstream's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Whether the request may have had an effect.
     pub outcome: Outcome,
-    /// Why it was given up on.
+    /// Reason for the refusal.
     pub reason: Reason,
-    /// When asking again makes sense.
+    /// Earliest time at which a retry makes sense.
     pub retry_at: Instant,
 }
 
 impl Refusal {
-    /// A refusal of a request that was never handed over.
+    /// Creates a refusal of a request that was not run.
     #[must_use]
     pub const fn not_run(reason: Reason, retry_at: Instant) -> Self {
         Self {
@@ -171,7 +171,7 @@
         }
     }
 
-    /// A refusal of a request that may have run.
+    /// Creates a refusal of a request that may have run.
     #[must_use]
     pub const fn unknown(reason: Reason, retry_at: Instant) -> Self {
         Self {
@@ -181,17 +181,17 @@
         }
     }
 
-    /// Whether no upstream saw anything of the request, so that placing it on another
-    /// host repeats no work.
+    /// Returns whether the request never reached an upstream, so that placing it on another host
+    /// repeats no work.
     #[must_use]
     pub const fn spared_upstreams(&self) -> bool {
         let reached = matches!(self.reason, Reason::Shed | Reason::Misdirected);
         matches!(self.outcome, Outcome::NotRun) && !reached
     }
 
-    /// The HTTP status that carries this refusal.
+    /// Returns the HTTP status of this refusal.
     ///
-    /// 429 is kept for a client account that fills its own part of the queue; 409 follows
+    /// 429 is reserved for a client account that has filled its own share of the queue; 409 follows
     /// the Idempotency-Key draft; the rest are RFC 9110 gateway statuses.
     #[must_use]
     pub const fn status(&self) -> u16 {
