--- a/crates/core/src/answered.rs
+++ b/crates/core/src/answered.rs
@@ -1,42 +1,43 @@
-//! Requests that an upstream answered lately.
+//! Requests that an upstream has answered recently.
 //!
-//! Load pattern: many callers send one and the same request, so that it is in progress wherever an
-//! upstream ends. That it was answered many times before is what tells it from the one to blame.
+//! Load pattern: many callers send the same request, so it is in progress wherever an upstream
+//! crashes. Only its many earlier answers distinguish it from the request that causes the crashes.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::fingerprint::Fingerprint;
 
-/// Requests remembered, the first noted going first; each costs some 60 bytes of memory.
-const REQUESTS_MOST: usize = 1024;
+/// Maximum number of requests stored; the one recorded first is evicted first. Each takes about 60
+/// bytes of memory.
+const MAX_REQUESTS: usize = 1024;
 
-/// How often requests were answered, for as many as fit.
+/// Bounded count of answers per request.
 #[derive(Debug, Default)]
 pub struct Answered {
-    times: HashMap<Fingerprint, u32>,
+    counts: HashMap<Fingerprint, u32>,
     order: VecDeque<Fingerprint>,
 }
 
 impl Answered {
-    /// The request was answered; returns how often that is remembered by now.
+    /// Records an answer and returns the number of answers stored for the request.
     pub fn note(&mut self, fingerprint: Fingerprint) -> u32 {
-        if let Some(times) = self.times.get_mut(&fingerprint) {
-            *times = times.saturating_add(1);
-            return *times;
+        if let Some(count) = self.counts.get_mut(&fingerprint) {
+            *count = count.saturating_add(1);
+            return *count;
         }
-        if self.order.len() == REQUESTS_MOST
+        if self.order.len() == MAX_REQUESTS
             && let Some(oldest) = self.order.pop_front()
         {
-            self.times.remove(&oldest);
+            self.counts.remove(&oldest);
         }
         self.order.push_back(fingerprint);
-        self.times.insert(fingerprint, 1);
+        self.counts.insert(fingerprint, 1);
         1
     }
 
-    /// Whether the request is remembered.
+    /// Returns whether an answer to the request is stored.
     #[must_use]
     pub fn contains(&self, fingerprint: Fingerprint) -> bool {
-        self.times.contains_key(&fingerprint)
+        self.counts.contains_key(&fingerprint)
     }
 }
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -1,8 +1,8 @@
-//! What stays the same when a caller sends a request again.
+//! Digests of the parts of a request that stay the same when a caller retries it.
 //!
-//! Each attempt of a caller has an id of its own, so ids cannot tell that two requests are one and
-//! the same. Method, host, path, client account and body can. The body passes through while the
-//! request is already in the upstream, so it is digested as it comes.
+//! Every attempt of a caller has an id of its own, so ids do not show that two attempts are the
+//! same request. Method, host, path, client account and body do. The body is streamed while the
+//! upstream already runs the request, so it is digested incrementally.
 
 use std::fmt;
 use std::hash::{Hash, Hasher};
@@ -10,17 +10,17 @@
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 
-/// Bytes of a body that are digested, whatever its length: as many as pass to the node beside the
-/// upstream before it has to take any. Longer bodies of one path and client account that begin
-/// alike are taken for the same.
+/// Maximum number of body bytes that are digested: as many as are sent to the node beside the
+/// upstream before the request has a slot there. Longer bodies that share these first bytes count
+/// as equal if path and client account are the same.
 pub const BODY_MOST: usize = 16 * 1024;
 
-/// Tells requests with different contents apart, and repeats of one request not.
+/// Identifies a request by its contents: retries of one request have the same fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint {
-    /// Digest of all but the body.
+    /// Digest of everything but the body.
     pub head: u64,
-    /// Digest of the body; `None` if too little of it came to tell.
+    /// Digest of the body; `None` if too little of it has arrived.
     pub body: Option<u64>,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Digest of all of a request but its body.
+/// Returns the digest of everything in a request but its body.
 #[must_use]
 pub fn head(method: &str, host: &str, path_and_query: &str, client_account: &str) -> u64 {
     let mut hasher = SipHasher13::new();
@@ -41,48 +41,49 @@
     hasher.finish()
 }
 
-/// A body as it passes.
+/// Incremental digest of a body.
 #[derive(Clone, Debug)]
 pub struct Body {
     hasher: SipHasher13,
-    taken: usize,
-    /// Its length, if its sender told.
-    declared: Option<u64>,
-    ended: bool,
+    /// Number of bytes digested so far.
+    digested: usize,
+    /// Length of the body, if the sender declared it.
+    declared_length: Option<u64>,
+    is_complete: bool,
 }
 
 impl Body {
-    /// Nothing has passed yet.
+    /// Starts the digest of a body; `declared_length` is its length if the sender declared it.
     #[must_use]
-    pub fn new(declared: Option<u64>) -> Self {
+    pub fn new(declared_length: Option<u64>) -> Self {
         Self {
             hasher: SipHasher13::new(),
-            taken: 0,
-            declared,
-            ended: declared == Some(0),
+            digested: 0,
+            declared_length,
+            is_complete: declared_length == Some(0),
         }
     }
 
-    /// A part has passed.
+    /// Adds the next part of the body.
     pub fn take(&mut self, data: &[u8]) {
-        let room = BODY_MOST - self.taken;
-        let digested = &data[..data.len().min(room)];
-        self.hasher.write(digested);
-        self.taken += digested.len();
-        if u64::try_from(self.taken).ok() == self.declared {
-            self.ended = true;
+        let remaining = BODY_MOST - self.digested;
+        let prefix = &data[..data.len().min(remaining)];
+        self.hasher.write(prefix);
+        self.digested += prefix.len();
+        if u64::try_from(self.digested).ok() == self.declared_length {
+            self.is_complete = true;
         }
     }
 
-    /// It has passed whole.
+    /// Marks the end of the body.
     pub const fn end(&mut self) {
-        self.ended = true;
+        self.is_complete = true;
     }
 
-    /// Its digest, once enough of it has passed.
+    /// Returns the digest once the body has ended or its first [`BODY_MOST`] bytes have arrived.
     #[must_use]
     pub fn digest(&self) -> Option<u64> {
-        let enough = self.ended || self.taken == BODY_MOST;
+        let enough = self.is_complete || self.digested == BODY_MOST;
         enough.then(|| self.hasher.finish())
     }
 }
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -1,21 +1,22 @@
-//! Requests that end the upstreams that run them, and what is held back for it.
+//! Quarantine of requests that crash the upstreams that run them.
 //!
-//! Load pattern: one request ends each upstream that begins to run it, with all else in progress
-//! there, and its caller repeats it several times a second, through any node and under a new id
-//! each time. Placed like any other it takes the upstreams of a service down one after the other,
-//! those that came back first.
+//! Load pattern: one request crashes every upstream that starts to run it, together with all other
+//! requests in progress there. Its caller retries it several times a second, through any node and
+//! under a new id each time. Placed like any other request, it takes down the upstreams of a
+//! service one after the other, those that restarted first.
 //!
-//! Evidence is an [`End`]: an upstream ended, and these were in progress. Only the node beside it
-//! sees that, so ends are told to all nodes, and sets of ends merge in any order. Who is to blame
-//! of those in progress shows by comparison: a request under which [`ends_least`] ended that no
-//! other request explains better is held back, the others of the same ends are not. A request that
-//! an upstream answers is cleared of the ends known then: one that is common is in progress at
-//! many ends, and is answered all the time. Where requests explain the ends equally well, those that
-//! were ever answered are not blamed beside one that never was.
+//! The evidence is an [`End`]: an upstream crashed while certain requests were in progress. Only
+//! the node beside that upstream observes it, so nodes gossip crashes, and sets of crashes merge in
+//! any order. The culprit is found by comparison: a request with at least [`ends_least`] crashes
+//! that no other request explains better is quarantined; the other requests of the same crashes
+//! are not. An answer from an upstream clears a request of the crashes known at that time: a common
+//! request is in progress at many crashes, but it is also answered all the time. Where several
+//! requests explain the crashes equally well, those that were ever answered are not blamed if
+//! another one never was.
 //!
-//! A request that is held back is tried now and then, by one node, so that one that was blamed
-//! by chance, or whose upstreams were mended, is not refused for good, and one that still ends
-//! upstreams ends few.
+//! One node tries a quarantined request from time to time. So a request that was blamed by chance,
+//! or whose upstreams have been fixed, is not refused forever, and one that still crashes upstreams
+//! crashes only a few.
 //!
 //! [`ends_least`]: crate::configs::quarantine::Settings::ends_least
 
@@ -32,342 +33,347 @@
 use crate::fingerprint::Fingerprint;
 use crate::screen::Screen;
 
-/// What changed is told in every exchange for this long: ten rounds, in which news reaches all of
-/// a thousand nodes. A node that hears nobody meanwhile asks for what is held back alone.
-const NEWS_FOR: Duration = Duration::from_secs(5);
-/// Ends remembered of one request: ten may come before the news of the third has spread, and more
-/// prove nothing more.
-const ENDS_MOST: usize = 16;
+/// Every exchange includes a change for this long. These are ten gossip rounds, enough to reach
+/// all of a thousand nodes. A node that is cut off for longer only catches up on the quarantined
+/// requests, which a differing digest makes its peers send.
+const GOSSIP_WINDOW: Duration = Duration::from_secs(5);
+/// Maximum number of crashes stored per request. Ten may happen before the third has been gossiped
+/// to all nodes, and further ones add no evidence.
+const MAX_CRASHES_PER_REQUEST: usize = 16;
 
-/// One upstream ended while a request was in progress there.
+/// A crash of an upstream while a request was in progress there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct End {
-    /// Tells ends apart, all over the fleet.
+    /// Identifier of the crash, unique across the fleet.
     pub id: u64,
-    /// Digest of the service whose upstream ended.
+    /// Digest of the service whose upstream crashed.
     pub service: u64,
-    /// An upstream of that service answered the request later.
+    /// Whether an upstream of that service has answered the request since.
     pub cleared: bool,
 }
 
-/// What is known of one request.
+/// The evidence against one request, as exchanged between nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suspect {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Ends at which it was in progress, by their ids; an answer known before an end stands here
-    /// as an end that was cleared.
+    /// Crashes during which the request was in progress, in order of their ids. If the request had
+    /// been answered before a crash, a second, cleared entry records that.
     pub ends: Vec<End>,
-    /// Times it was tried while held back.
+    /// Number of times that the request was tried while in quarantine.
     pub trials: u32,
-    /// When it is forgotten.
+    /// Time at which the evidence expires.
     pub forgotten_at: Instant,
 }
 
-/// What another node told.
+/// Quarantine state that another node reported in an exchange.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Peer {
-    /// Digest of what it holds back.
+    /// Digest of the requests that the node has in quarantine.
     pub digest: u64,
-    /// Requests of which it told something.
+    /// Requests that the node sent evidence about.
     pub named: Vec<Fingerprint>,
 }
 
-/// What the node beside an upstream saw.
+/// Event observed by the node beside an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The upstream ended, unplanned, with these in progress.
+    /// The upstream crashed: it ended without a planned stop.
     Ended {
         /// Service of the upstream.
         service: Arc<str>,
-        /// What was in progress.
+        /// Requests in progress at the time.
         in_progress: Vec<Fingerprint>,
     },
-    /// The upstream answered a suspect.
+    /// The upstream answered a request.
     Answered {
         /// Service of the upstream.
         service: Arc<str>,
-        /// The request.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
     },
-    /// A request that is held back was handed over.
+    /// A quarantined request was sent to the upstream as a trial.
     Tried(Fingerprint),
 }
 
-/// What an event or message changed.
+/// Effect of an event or message, by how soon other nodes need to learn of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Change {
-    /// Nothing.
+    /// Nothing changed.
     None,
-    /// Something that other nodes hear of soon enough by the way.
-    Quiet,
-    /// Something that other nodes must know at once: an end, a trial, or what is held back.
+    /// A change that regular gossip rounds spread soon enough.
+    Deferred,
+    /// A change that other nodes need at once: a crash, a trial, or a change of the quarantine.
     Urgent,
 }
 
-/// All suspects that one node knows.
+/// All suspect requests known to one node.
 #[derive(Debug)]
 pub struct Quarantine {
     settings: Settings,
-    /// Tells this node's ends from those of others, and of an earlier start of it.
-    node: u64,
-    ends_seen: u64,
-    suspects: BTreeMap<Fingerprint, Known>,
-    /// Requests that this node's upstream answered.
+    /// Distinguishes this node's crash ids from those of other nodes and of its earlier starts.
+    node_id: u64,
+    crash_count: u64,
+    suspects: BTreeMap<Fingerprint, Entry>,
+    /// Requests that this node's upstream has answered.
     answered: Answered,
 }
 
 #[derive(Debug)]
-struct Known {
-    ends: BTreeMap<u64, End>,
+struct Entry {
+    crashes: BTreeMap<u64, End>,
     trials: u32,
-    /// When it may be tried, if it is held back.
+    /// Time from which the request may be tried; `None` if it is not in quarantine.
     trial_at: Option<Instant>,
     forgotten_at: Instant,
-    news_until: Instant,
+    gossip_until: Instant,
 }
 
-impl Known {
-    fn open_ends(&self) -> impl Iterator<Item = &End> {
-        self.ends.values().filter(|end| !end.cleared)
+impl Entry {
+    fn uncleared_crashes(&self) -> impl Iterator<Item = &End> {
+        self.crashes.values().filter(|crash| !crash.cleared)
     }
 
     fn was_answered(&self) -> bool {
-        self.ends.values().any(|end| end.cleared)
+        self.crashes.values().any(|crash| crash.cleared)
     }
 }
 
 impl Quarantine {
-    /// Knows of nothing; `node` tells nodes and their starts apart.
+    /// Creates an empty quarantine. `node_id` must differ between nodes and between starts of one
+    /// node.
     #[must_use]
-    pub fn new(settings: Settings, node: u64) -> Self {
+    pub fn new(settings: Settings, node_id: u64) -> Self {
         Self {
             settings,
-            node,
-            ends_seen: 0,
+            node_id,
+            crash_count: 0,
             suspects: BTreeMap::new(),
             answered: Answered::default(),
         }
     }
 
-    /// Takes in what was seen beside this node's upstream.
+    /// Records an event observed at this node's upstream.
     pub fn seen(&mut self, now: Instant, event: Event) -> Change {
         match event {
             Event::Ended {
                 service,
                 in_progress,
-            } => self.ended(now, &service, &in_progress),
+            } => self.record_crash(now, &service, &in_progress),
             Event::Answered {
                 service,
                 fingerprint,
-            } => self.answered(now, &service, fingerprint),
-            Event::Tried(fingerprint) => self.tried(now, fingerprint),
+            } => self.record_answer(now, &service, fingerprint),
+            Event::Tried(fingerprint) => self.record_trial(now, fingerprint),
         }
     }
 
-    /// Takes in what another node knows.
-    pub fn merge(&mut self, now: Instant, theirs: Vec<Suspect>) -> Change {
+    /// Merges the evidence that another node sent.
+    pub fn merge(&mut self, now: Instant, suspects: Vec<Suspect>) -> Change {
         let mut change = Change::None;
-        for suspect in theirs {
+        for suspect in suspects {
             if suspect.forgotten_at > now {
                 change = change.max(self.merge_one(now, suspect));
             }
         }
-        self.settle(now, change)
+        self.reevaluate(now, change)
     }
 
-    /// Forgets what is due.
+    /// Removes expired evidence.
     pub fn tick(&mut self, now: Instant) -> Change {
         let before = self.suspects.len();
-        self.suspects.retain(|_, known| known.forgotten_at > now);
+        self.suspects.retain(|_, entry| entry.forgotten_at > now);
         if self.suspects.len() == before {
             return Change::None;
         }
-        self.settle(now, Change::Quiet);
-        Change::Quiet
+        self.reevaluate(now, Change::Deferred);
+        Change::Deferred
     }
 
-    /// What another node is to be told: what changed lately, and if it holds back other requests
-    /// than this one, all that is held back here and what is known of those that it named. It may
-    /// have missed that they were cleared.
+    /// Returns what to send to another node: recent changes and, if the peer's quarantine differs
+    /// from this node's, all requests in quarantine here and the evidence on those that the peer
+    /// sent. The peer may have missed that they were cleared.
     #[must_use]
-    pub fn updates_for(&self, now: Instant, theirs: Option<&Peer>) -> Vec<Suspect> {
-        let differs = theirs.filter(|theirs| theirs.digest != self.digest());
-        let named = differs.map_or(&[][..], |theirs| &theirs.named);
-        self.select(|fingerprint, known| {
-            let held = differs.is_some() && known.trial_at.is_some();
-            held || now < known.news_until || named.contains(fingerprint)
+    pub fn updates_for(&self, now: Instant, peer: Option<&Peer>) -> Vec<Suspect> {
+        let differing = peer.filter(|peer| peer.digest != self.digest());
+        let peer_suspects = differing.map_or(&[][..], |peer| &peer.named);
+        self.select(|fingerprint, entry| {
+            let catch_up = differing.is_some() && entry.trial_at.is_some();
+            catch_up || now < entry.gossip_until || peer_suspects.contains(fingerprint)
         })
     }
 
-    /// What is held back.
+    /// Returns the requests in quarantine.
     #[must_use]
     pub fn held(&self) -> Vec<Suspect> {
-        self.select(|_, known| known.trial_at.is_some())
+        self.select(|_, entry| entry.trial_at.is_some())
     }
 
-    /// Requests known.
+    /// Returns the number of suspect requests, quarantined or not.
     #[must_use]
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Whether no request is known.
+    /// Returns whether there is no suspect request.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    fn select(&self, wanted: impl Fn(&Fingerprint, &Known) -> bool) -> Vec<Suspect> {
+    fn select(&self, predicate: impl Fn(&Fingerprint, &Entry) -> bool) -> Vec<Suspect> {
         let selected = self.suspects.iter();
-        let selected = selected.filter(|(fingerprint, known)| wanted(fingerprint, known));
-        let told = selected.map(|(fingerprint, known)| Suspect {
+        let selected = selected.filter(|(fingerprint, entry)| predicate(fingerprint, entry));
+        let suspects = selected.map(|(fingerprint, entry)| Suspect {
             fingerprint: *fingerprint,
-            ends: known.ends.values().copied().collect(),
-            trials: known.trials,
-            forgotten_at: known.forgotten_at,
+            ends: entry.crashes.values().copied().collect(),
+            trials: entry.trials,
+            forgotten_at: entry.forgotten_at,
         });
-        told.collect()
+        suspects.collect()
     }
 
-    /// Digest of what is held back; nodes that hold back the same have the same.
+    /// Returns a digest of the quarantined requests; it is the same on nodes with the same
+    /// quarantine.
     #[must_use]
     pub fn digest(&self) -> u64 {
-        let held = self.suspects.iter();
-        let held = held.filter(|(_, known)| known.trial_at.is_some());
-        let digests = held.map(|(fingerprint, known)| digest_of((fingerprint, known.trials)));
+        let quarantined = self.suspects.iter();
+        let quarantined = quarantined.filter(|(_, entry)| entry.trial_at.is_some());
+        let digests =
+            quarantined.map(|(fingerprint, entry)| digest_of((fingerprint, entry.trials)));
         digests.fold(0, |sum, digest| sum ^ digest)
     }
 
-    /// What requests are held to.
+    /// Returns a snapshot for looking up requests.
     #[must_use]
     pub fn screen(&self) -> Screen {
-        let open = self.suspects.iter();
-        let open = open.filter(|(_, known)| known.open_ends().next().is_some());
-        open.map(|(fingerprint, known)| (*fingerprint, known.trial_at))
+        let uncleared = self.suspects.iter();
+        let uncleared = uncleared.filter(|(_, entry)| entry.uncleared_crashes().next().is_some());
+        uncleared
+            .map(|(fingerprint, entry)| (*fingerprint, entry.trial_at))
             .collect()
     }
 
-    fn ended(&mut self, now: Instant, service: &str, in_progress: &[Fingerprint]) -> Change {
-        self.ends_seen += 1;
-        let end = End {
-            id: digest_of((self.node, self.ends_seen)),
+    fn record_crash(&mut self, now: Instant, service: &str, in_progress: &[Fingerprint]) -> Change {
+        self.crash_count += 1;
+        let crash = End {
+            id: digest_of((self.node_id, self.crash_count)),
             service: digest_of(service),
             cleared: false,
         };
         let answered_before = End {
-            id: digest_of((end.id, "answered before")),
+            id: digest_of((crash.id, "answered before")),
             cleared: true,
-            ..end
+            ..crash
         };
         let forgotten_at = now + self.settings.remember_for;
         let mut change = Change::None;
         for fingerprint in in_progress {
-            let mut ends = vec![end];
+            let mut crashes = vec![crash];
             if self.answered.contains(*fingerprint) {
-                ends.push(answered_before);
+                crashes.push(answered_before);
             }
             let suspect = Suspect {
                 fingerprint: *fingerprint,
-                ends,
+                ends: crashes,
                 trials: 0,
                 forgotten_at,
             };
             change = change.max(self.merge_one(now, suspect));
         }
-        self.settle(now, change)
+        self.reevaluate(now, change)
     }
 
-    /// An answer clears a request of the ends of the answering service: another service that gets
-    /// part of its traffic may well be able to run it.
-    fn answered(&mut self, now: Instant, service: &str, fingerprint: Fingerprint) -> Change {
+    /// Clears a request of the crashes of the answering service only: another service that gets a
+    /// share of the same traffic may well be able to run the request.
+    fn record_answer(&mut self, now: Instant, service: &str, fingerprint: Fingerprint) -> Change {
         self.answered.note(fingerprint);
         let service = digest_of(service);
-        let by_head = Fingerprint {
+        let head_only = Fingerprint {
             body: None,
             ..fingerprint
         };
         let mut change = Change::None;
-        for answered in [fingerprint, by_head] {
-            let Some(known) = self.suspects.get_mut(&answered) else {
+        for answered in [fingerprint, head_only] {
+            let Some(entry) = self.suspects.get_mut(&answered) else {
                 continue;
             };
             let mut cleared = false;
-            for end in known.ends.values_mut() {
-                cleared |= end.service == service && !end.cleared;
-                end.cleared |= end.service == service;
+            for crash in entry.crashes.values_mut() {
+                cleared |= crash.service == service && !crash.cleared;
+                crash.cleared |= crash.service == service;
             }
             if cleared {
-                known.news_until = now + NEWS_FOR;
-                change = Change::Quiet;
+                entry.gossip_until = now + GOSSIP_WINDOW;
+                change = Change::Deferred;
             }
         }
-        self.settle(now, change)
+        self.reevaluate(now, change)
     }
 
-    fn tried(&mut self, now: Instant, fingerprint: Fingerprint) -> Change {
+    fn record_trial(&mut self, now: Instant, fingerprint: Fingerprint) -> Change {
         let remember_for = self.settings.remember_for;
-        let Some(known) = self.suspects.get_mut(&fingerprint) else {
+        let Some(entry) = self.suspects.get_mut(&fingerprint) else {
             return Change::None;
         };
-        known.trials += 1;
-        known.trial_at = None;
-        known.forgotten_at = now + remember_for;
-        known.news_until = now + NEWS_FOR;
-        self.settle(now, Change::Urgent)
+        entry.trials += 1;
+        entry.trial_at = None;
+        entry.forgotten_at = now + remember_for;
+        entry.gossip_until = now + GOSSIP_WINDOW;
+        self.reevaluate(now, Change::Urgent)
     }
 
-    /// Takes in what is known elsewhere of one request.
-    fn merge_one(&mut self, now: Instant, theirs: Suspect) -> Change {
-        let unknown = || Known {
-            ends: BTreeMap::new(),
+    /// Merges evidence on one request.
+    fn merge_one(&mut self, now: Instant, suspect: Suspect) -> Change {
+        let new_entry = || Entry {
+            crashes: BTreeMap::new(),
             trials: 0,
             trial_at: None,
-            forgotten_at: theirs.forgotten_at,
-            news_until: now,
+            forgotten_at: suspect.forgotten_at,
+            gossip_until: now,
         };
-        let known = self.suspects.entry(theirs.fingerprint);
-        let known = known.or_insert_with(unknown);
-        let before = known.ends.clone();
-        for end in theirs.ends {
-            let own = known.ends.entry(end.id).or_insert(end);
-            own.cleared |= end.cleared;
+        let entry = self.suspects.entry(suspect.fingerprint);
+        let entry = entry.or_insert_with(new_entry);
+        let before = entry.crashes.clone();
+        for crash in suspect.ends {
+            let own = entry.crashes.entry(crash.id).or_insert(crash);
+            own.cleared |= crash.cleared;
         }
-        let is_new = |end: &End| !end.cleared && !before.contains_key(&end.id);
-        let ended = known.ends.values().any(is_new);
-        while known.ends.len() > ENDS_MOST {
-            known.ends.pop_last();
+        let is_new = |crash: &End| !crash.cleared && !before.contains_key(&crash.id);
+        let has_new_crash = entry.crashes.values().any(is_new);
+        while entry.crashes.len() > MAX_CRASHES_PER_REQUEST {
+            entry.crashes.pop_last();
         }
-        let tried = theirs.trials > known.trials;
-        if tried {
-            known.trials = theirs.trials;
-            known.trial_at = None;
+        let has_new_trial = suspect.trials > entry.trials;
+        if has_new_trial {
+            entry.trials = suspect.trials;
+            entry.trial_at = None;
         }
-        known.forgotten_at = known.forgotten_at.max(theirs.forgotten_at);
-        if !tried && known.ends == before {
+        entry.forgotten_at = entry.forgotten_at.max(suspect.forgotten_at);
+        if !has_new_trial && entry.crashes == before {
             return Change::None;
         }
-        known.news_until = now + NEWS_FOR;
-        if tried || ended {
+        entry.gossip_until = now + GOSSIP_WINDOW;
+        if has_new_trial || has_new_crash {
             Change::Urgent
         } else {
-            Change::Quiet
+            Change::Deferred
         }
     }
 
-    /// Decides anew what is held back after a change, and gives up what is too much.
-    fn settle(&mut self, now: Instant, change: Change) -> Change {
+    /// Evicts surplus suspects after a change and recomputes which requests are in quarantine.
+    fn reevaluate(&mut self, now: Instant, change: Change) -> Change {
         if change == Change::None {
             return change;
         }
-        self.drop_surplus();
+        self.evict_surplus();
         let before = self.digest();
-        let held = self.to_blame();
-        for (fingerprint, known) in &mut self.suspects {
-            if !held.contains(fingerprint) {
-                known.trial_at = None;
-            } else if known.trial_at.is_none() {
-                known.trial_at = Some(now + pause(&self.settings, known.trials));
+        let culprits = self.find_culprits();
+        for (fingerprint, entry) in &mut self.suspects {
+            if !culprits.contains(fingerprint) {
+                entry.trial_at = None;
+            } else if entry.trial_at.is_none() {
+                entry.trial_at = Some(now + trial_delay(&self.settings, entry.trials));
             }
         }
         if self.digest() == before {
@@ -377,51 +383,59 @@
         }
     }
 
-    /// Requests that explain the ends best.
+    /// Returns the requests that explain the crashes best.
     ///
-    /// Failure: six requests are in progress at each end, and some innocent ones are common.
-    /// Symptom: held back for their number of ends alone, half a service would be refused. The
-    /// request with most ends explains all of them; another is to blame only for what is left.
+    /// Failure: six requests are in progress at each crash, and some of the innocent ones are
+    /// common. Symptom: if the number of crashes alone decided, half of a service's requests would
+    /// be refused. The request with the most crashes explains all of them; another request is
+    /// blamed only for the crashes that remain unexplained.
     ///
-    /// Failure: all upstreams of a service end at once, with a common request in progress at each.
-    /// Symptom: it has as many ends as the one to blame, and its callers are refused for seconds.
-    fn to_blame(&self) -> BTreeSet<Fingerprint> {
-        let mut blamed = BTreeSet::new();
+    /// Failure: all upstreams of a service crash at once, with a common request in progress at
+    /// each. Symptom: the common request has as many crashes as the culprit, and its callers are
+    /// refused for seconds. Of requests that explain equally many crashes, those that were answered
+    /// are not blamed if another one never was.
+    fn find_culprits(&self) -> BTreeSet<Fingerprint> {
+        let mut culprits = BTreeSet::new();
         let mut explained: BTreeSet<u64> = BTreeSet::new();
         loop {
-            let mut most = self.settings.ends_least.max(1);
-            let mut heaviest: Vec<Fingerprint> = Vec::new();
-            for (fingerprint, known) in &self.suspects {
-                let open = known.open_ends();
-                let left = open.filter(|end| !explained.contains(&end.id)).count();
-                if left > most {
-                    most = left;
-                    heaviest.clear();
+            let mut max_unexplained = self.settings.ends_least.max(1);
+            let mut candidates: Vec<Fingerprint> = Vec::new();
+            for (fingerprint, entry) in &self.suspects {
+                let uncleared = entry.uncleared_crashes();
+                let unexplained = uncleared
+                    .filter(|crash| !explained.contains(&crash.id))
+                    .count();
+                if unexplained > max_unexplained {
+                    max_unexplained = unexplained;
+                    candidates.clear();
                 }
-                if left == most {
-                    heaviest.push(*fingerprint);
+                if unexplained == max_unexplained {
+                    candidates.push(*fingerprint);
                 }
             }
-            if heaviest.is_empty() {
-                return blamed;
+            if candidates.is_empty() {
+                return culprits;
             }
             let never_answered =
                 |fingerprint: &Fingerprint| !self.suspects[fingerprint].was_answered();
-            if heaviest.iter().any(never_answered) {
-                heaviest.retain(never_answered);
+            if candidates.iter().any(never_answered) {
+                candidates.retain(never_answered);
             }
-            for fingerprint in heaviest {
-                let ends = self.suspects[&fingerprint].open_ends();
-                explained.extend(ends.map(|end| end.id));
-                blamed.insert(fingerprint);
+            for fingerprint in candidates {
+                let crashes = self.suspects[&fingerprint].uncleared_crashes();
+                explained.extend(crashes.map(|crash| crash.id));
+                culprits.insert(fingerprint);
             }
         }
     }
 
-    /// Failure: a zone is lost with hundreds of requests in progress, or somebody sends a
-    /// thousand requests of this kind. Symptom: memory and messages follow. Those with fewest ends
-    /// go first, and by an order that is the same on all nodes, so that they come to know the same.
-    fn drop_surplus(&mut self) {
+    /// Evicts the suspects beyond the configured maximum.
+    ///
+    /// Failure: an availability zone is lost with hundreds of requests in progress, or a caller
+    /// sends a thousand requests that crash upstreams. Symptom: memory use and message sizes grow
+    /// with them. Suspects with the fewest crashes are evicted first, in an order that is the same
+    /// on all nodes, so that the nodes converge.
+    fn evict_surplus(&mut self) {
         let surplus = self
             .suspects
             .len()
@@ -429,10 +443,10 @@
         if surplus == 0 {
             return;
         }
-        let weight = |(fingerprint, known): (&Fingerprint, &Known)| {
-            (known.open_ends().count(), *fingerprint)
+        let rank = |(fingerprint, entry): (&Fingerprint, &Entry)| {
+            (entry.uncleared_crashes().count(), *fingerprint)
         };
-        let mut order: Vec<(usize, Fingerprint)> = self.suspects.iter().map(weight).collect();
+        let mut order: Vec<(usize, Fingerprint)> = self.suspects.iter().map(rank).collect();
         order.sort_unstable();
         for (_, fingerprint) in &order[..surplus] {
             self.suspects.remove(fingerprint);
@@ -440,21 +454,21 @@
     }
 }
 
-/// Time until a request that was tried so often may be tried again.
-fn pause(settings: &Settings, trials: u32) -> Duration {
-    let Some(again) = trials.checked_sub(1) else {
+/// Returns the delay until a request may be tried again after this number of trials.
+fn trial_delay(settings: &Settings, trials: u32) -> Duration {
+    let Some(doublings) = trials.checked_sub(1) else {
         return settings.trial_after;
     };
-    let doubled = 2_u32.saturating_pow(again);
-    let pause = settings.trial_again_after.saturating_mul(doubled);
-    pause.min(settings.trial_pause_most)
+    let factor = 2_u32.saturating_pow(doublings);
+    let delay = settings.trial_again_after.saturating_mul(factor);
+    delay.min(settings.trial_pause_most)
 }
 
-/// The one host of a service that tries a request that is held back.
+/// Returns the one host of a service that tries a quarantined request.
 ///
-/// Failure: the time for a trial comes, and callers repeat the request through every node.
-/// Symptom: as many upstreams end as there are nodes. All nodes that know the same hosts name the
-/// same one, and its node alone lets the request through, once.
+/// Failure: a trial is due, and callers retry the request through every node. Symptom: as many
+/// upstreams crash as there are nodes. All nodes that know the same hosts choose the same one, and
+/// only its node lets the request through, once.
 #[must_use]
 pub fn trial_host<'a>(
     fingerprint: Fingerprint,
--- a/crates/core/src/screen.rs
+++ b/crates/core/src/screen.rs
@@ -1,77 +1,78 @@
-//! What is held against requests on one node, as of one moment.
+//! Snapshot of the suspect requests that one node knows.
 //!
-//! [`crate::quarantine`] decides it; the entry and the node beside the upstream look each request up.
+//! [`crate::quarantine`] creates it; the entry and the node beside the upstream look up each
+//! request in it.
 
 use std::collections::HashMap;
 use std::time::Instant;
 
 use crate::fingerprint::Fingerprint;
 
-/// What requests are held to on one node, as of one moment.
+/// Snapshot of the suspect requests that one node knows, indexed by the digest of their heads.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Screen {
-    by_head: HashMap<u64, Vec<Listed>>,
+    by_head: HashMap<u64, Vec<Entry>>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Listed {
+struct Entry {
     body: Option<u64>,
-    /// When it may be tried, if it is held back.
+    /// Time from which the request may be tried; `None` if it is not in quarantine.
     trial_at: Option<Instant>,
 }
 
-/// What the screen says of a request.
+/// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing is held against it.
+    /// The request is not in quarantine.
     Pass,
-    /// Its body, not seen yet, tells whether it is one that is held back.
+    /// The head matches a quarantined request, and the body, not read yet, decides.
     BodyDecides,
-    /// It is held back until then.
+    /// The request is in quarantine, and no trial is due before this time.
     Hold(Instant),
-    /// It is held back, and one node may try it.
+    /// The request is in quarantine, and one node may try it now.
     Trial,
 }
 
 impl FromIterator<(Fingerprint, Option<Instant>)> for Screen {
-    /// Suspects, each with the time of its trial if it is held back.
+    /// Collects suspects, each with the time of its next trial if it is in quarantine.
     fn from_iter<T: IntoIterator<Item = (Fingerprint, Option<Instant>)>>(suspects: T) -> Self {
         let mut screen = Self::default();
         for (fingerprint, trial_at) in suspects {
-            let listed = Listed {
+            let entry = Entry {
                 body: fingerprint.body,
                 trial_at,
             };
             let same_head = screen.by_head.entry(fingerprint.head);
-            same_head.or_default().push(listed);
+            same_head.or_default().push(entry);
         }
         screen
     }
 }
 
 impl Screen {
-    /// Whether nothing is known of any request.
+    /// Returns whether there is no suspect request.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_head.is_empty()
     }
 
-    /// Whether an answer to this request clears it of something.
+    /// Returns whether the request is a suspect, so that an answer to it may clear it.
     #[must_use]
     pub fn suspects(&self, fingerprint: Fingerprint) -> bool {
-        let mut listed = self.by_head.get(&fingerprint.head).into_iter().flatten();
-        listed.any(|listed| listed.body.is_none() || listed.body == fingerprint.body)
+        let mut entry = self.by_head.get(&fingerprint.head).into_iter().flatten();
+        entry.any(|entry| entry.body.is_none() || entry.body == fingerprint.body)
     }
 
-    /// What holds for this request.
+    /// Decides whether the request passes, is refused or may be tried.
     #[must_use]
     pub fn judge(&self, now: Instant, fingerprint: Fingerprint) -> Verdict {
         let mut verdict = Verdict::Pass;
-        for listed in self.by_head.get(&fingerprint.head).into_iter().flatten() {
-            let Some(trial_at) = listed.trial_at else {
+        for entry in self.by_head.get(&fingerprint.head).into_iter().flatten() {
+            let Some(trial_at) = entry.trial_at else {
                 continue;
             };
-            if listed.body.is_none() || listed.body == fingerprint.body {
+            if entry.body.is_none() || entry.body == fingerprint.body {
                 return if now < trial_at {
                     Verdict::Hold(trial_at)
                 } else {
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that end upstreams: who is blamed, what is held back, and what is tried.
+//! Quarantine of requests that crash upstreams: culprits, trials and convergence between nodes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
     Quarantine::new(Settings::default(), number)
 }
 
-fn ended(in_progress: &[Fingerprint]) -> Event {
+fn crashed(in_progress: &[Fingerprint]) -> Event {
     Event::Ended {
         service: Arc::from("service"),
         in_progress: in_progress.to_vec(),
@@ -37,265 +37,276 @@
     }
 }
 
-/// Tells each node all that the others know, until nobody hears news.
-fn spread(now: Instant, nodes: &mut [Quarantine]) {
+/// Exchanges updates between all nodes until none of them changes.
+fn converge(now: Instant, nodes: &mut [Quarantine]) {
     loop {
-        let all: Vec<_> = nodes
+        let updates: Vec<_> = nodes
             .iter()
             .map(|node| node.updates_for(now, None))
             .collect();
-        let mut news = false;
+        let mut changed = false;
         for node in nodes.iter_mut() {
-            for told in &all {
-                news |= node.merge(now, told.clone()) != Change::None;
+            for update in &updates {
+                changed |= node.merge(now, update.clone()) != Change::None;
             }
         }
-        if !news {
+        if !changed {
             return;
         }
     }
 }
 
-fn is_held(node: &Quarantine, now: Instant, fingerprint: Fingerprint) -> bool {
+fn is_quarantined(node: &Quarantine, now: Instant, fingerprint: Fingerprint) -> bool {
     !matches!(
         node.screen().judge(now, fingerprint),
         Verdict::Pass | Verdict::BodyDecides
     )
 }
 
-/// A caller repeats a request through any node, and it ends the upstream of three of them. Each
-/// node saw one end; once they have told each other, all hold the request back, also one that saw
-/// none. Two ends are not enough: second attempts meet as many by chance.
+/// Guards against a request that crashes upstreams beside several nodes and is never quarantined,
+/// because each node observes only one crash. After an exchange, all nodes quarantine it, also one
+/// that observed none. Two crashes do not suffice: an innocent request that is retried may have as
+/// many by chance.
 #[test]
-fn seen_on_three_nodes_holds_back_everywhere() {
+fn crashes_on_three_nodes_lead_to_quarantine_everywhere() {
     let now = Instant::now();
     let mut nodes: Vec<Quarantine> = (0..4).map(node).collect();
-    for (index, held) in [(0, false), (1, false), (2, true)] {
-        nodes[index].seen(now, ended(&[request(7)]));
-        spread(now, &mut nodes);
+    for (index, quarantined) in [(0, false), (1, false), (2, true)] {
+        nodes[index].seen(now, crashed(&[request(7)]));
+        converge(now, &mut nodes);
         for node in &nodes {
-            assert_eq!(is_held(node, now, request(7)), held, "after {index}");
+            assert_eq!(
+                is_quarantined(node, now, request(7)),
+                quarantined,
+                "after {index}"
+            );
         }
     }
-    assert!(!is_held(&nodes[3], now, request(8)));
+    assert!(!is_quarantined(&nodes[3], now, request(8)));
 }
 
-/// One upstream ends three times, each time under the same request: three starts, three ends.
+/// Guards against counting crashed upstreams instead of crashes: one upstream restarts and crashes
+/// three times under the same request.
 #[test]
-fn seen_three_times_on_one_node_holds_back() {
+fn three_crashes_on_one_node_lead_to_quarantine() {
     let now = Instant::now();
     let mut node = node(0);
     for _ in 0..3 {
-        assert_eq!(node.seen(now, ended(&[request(7)])), Change::Urgent);
+        assert_eq!(node.seen(now, crashed(&[request(7)])), Change::Urgent);
     }
-    assert!(is_held(&node, now, request(7)));
+    assert!(is_quarantined(&node, now, request(7)));
 }
 
-/// Six requests are in progress at each end. One that others send all the time is among them at
-/// three of four ends, so by number alone it would be refused as well. The one present at all
-/// four explains them.
+/// Guards against an innocent, common request that is quarantined for its number of crashes alone.
+/// Six requests are in progress at each crash, and the common one at three of four; the culprit is
+/// in progress at all four and explains them.
 #[test]
-fn ended_blames_the_request_that_explains_most() {
+fn crash_blames_the_request_that_explains_most() {
     let now = Instant::now();
     let mut node = node(0);
-    let (guilty, common) = (request(1), request(2));
+    let (culprit, common) = (request(1), request(2));
     for n in 0..4 {
-        let mut in_progress = vec![guilty];
+        let mut in_progress = vec![culprit];
         if n > 0 {
             in_progress.push(common);
         }
         in_progress.extend((0..4).map(|other| request(10 + 4 * n + other)));
-        node.seen(now, ended(&in_progress));
+        node.seen(now, crashed(&in_progress));
     }
-    assert!(is_held(&node, now, guilty));
-    assert!(!is_held(&node, now, common));
+    assert!(is_quarantined(&node, now, culprit));
+    assert!(!is_quarantined(&node, now, common));
 }
 
-/// Guards against a common request that is held back since it was in progress at a few ends at once.
+/// Guards against a common request that is quarantined because it was in progress at several
+/// crashes at once.
 #[test]
-fn ended_blames_no_request_that_was_answered_until_then() {
+fn crash_does_not_blame_a_request_answered_until_then() {
     let now = Instant::now();
     let mut node = node(0);
-    let (guilty, common) = (request(1), request(2));
+    let (culprit, common) = (request(1), request(2));
     for _ in 0..20 {
         node.seen(now, answered("service", common));
     }
     for _ in 0..3 {
-        node.seen(now, ended(&[guilty, common]));
+        node.seen(now, crashed(&[culprit, common]));
     }
-    assert!(is_held(&node, now, guilty));
-    assert!(!is_held(&node, now, common));
+    assert!(is_quarantined(&node, now, culprit));
+    assert!(!is_quarantined(&node, now, common));
 }
 
-/// Guards against a request that is spared for ever since it was answered before it began to end upstreams.
+/// Guards against a culprit that is never quarantined because it was answered before it started to
+/// crash upstreams.
 #[test]
-fn ended_blames_a_request_that_was_answered_before() {
+fn crash_blames_a_culprit_that_was_answered_before() {
     let now = Instant::now();
     let mut node = node(0);
-    let guilty = request(1);
+    let culprit = request(1);
     for _ in 0..20 {
-        node.seen(now, answered("service", guilty));
+        node.seen(now, answered("service", culprit));
     }
     for n in 0..3 {
-        node.seen(now, ended(&[guilty, request(10 + n)]));
+        node.seen(now, crashed(&[culprit, request(10 + n)]));
     }
-    assert!(is_held(&node, now, guilty));
+    assert!(is_quarantined(&node, now, culprit));
 }
 
-/// Guards against an innocent request that stays blamed in place of one that was answered before.
+/// Guards against an innocent request that stays quarantined instead of a culprit that was answered
+/// before: the next crash without the innocent request corrects the blame.
 #[test]
-fn ended_corrects_whom_it_blames_by_the_next_end() {
+fn next_crash_corrects_the_blame() {
     let now = Instant::now();
     let mut node = node(0);
-    let (guilty, slow) = (request(1), request(2));
-    node.seen(now, answered("service", guilty));
+    let (culprit, slow) = (request(1), request(2));
+    node.seen(now, answered("service", culprit));
     for _ in 0..3 {
-        node.seen(now, ended(&[guilty, slow]));
+        node.seen(now, crashed(&[culprit, slow]));
     }
-    node.seen(now, ended(&[guilty]));
-    assert!(is_held(&node, now, guilty));
-    assert!(!is_held(&node, now, slow));
+    node.seen(now, crashed(&[culprit]));
+    assert!(is_quarantined(&node, now, culprit));
+    assert!(!is_quarantined(&node, now, slow));
 }
 
-/// Guards against a common request that is held back on nodes whose own upstream never answered it.
+/// Guards against a common request that is quarantined on nodes whose own upstream never answered
+/// it.
 #[test]
-fn ended_tells_other_nodes_what_was_answered_before() {
+fn crash_reports_earlier_answers_to_other_nodes() {
     let now = Instant::now();
     let mut nodes: Vec<Quarantine> = (0..4).map(node).collect();
-    let (guilty, common) = (request(1), request(2));
+    let (culprit, common) = (request(1), request(2));
     for node in &mut nodes[..3] {
         node.seen(now, answered("service", common));
-        node.seen(now, ended(&[guilty, common]));
+        node.seen(now, crashed(&[culprit, common]));
     }
-    spread(now, &mut nodes);
+    converge(now, &mut nodes);
     for node in &nodes {
-        assert!(is_held(node, now, guilty));
-        assert!(!is_held(node, now, common));
+        assert!(is_quarantined(node, now, culprit));
+        assert!(!is_quarantined(node, now, common));
     }
 }
 
-/// Two requests end upstreams at the same time, each its own. Both are held back, since neither
-/// explains the ends of the other.
+/// Two requests crash different upstreams at the same time. Both are quarantined, since neither
+/// explains the crashes of the other.
 #[test]
-fn ended_blames_two_that_explain_different_ends() {
+fn crash_blames_two_requests_that_explain_different_crashes() {
     let now = Instant::now();
     let mut node = node(0);
     for n in 0..3 {
-        node.seen(now, ended(&[request(1), request(20 + n)]));
-        node.seen(now, ended(&[request(2), request(30 + n)]));
+        node.seen(now, crashed(&[request(1), request(20 + n)]));
+        node.seen(now, crashed(&[request(2), request(30 + n)]));
     }
-    assert!(is_held(&node, now, request(1)) && is_held(&node, now, request(2)));
+    assert!(is_quarantined(&node, now, request(1)) && is_quarantined(&node, now, request(2)));
 }
 
-/// A rack of upstreams is lost, and a request that is sent all the time was in progress on each.
-/// The first answer to it shows that it is not to blame, on every node; so does an answer that
-/// comes after it was held back.
+/// Guards against a common request that stays quarantined after a rack of upstreams is lost with it
+/// in progress on each. Its first answer clears it on every node, whether it arrives before or
+/// after the request is quarantined.
 #[rstest]
-#[case::before_the_third(2)]
-#[case::after_it(3)]
-fn answered_clears_a_common_request(#[case] ends: u64) {
+#[case::before_third_crash(2)]
+#[case::after_third_crash(3)]
+fn answer_clears_a_common_request(#[case] crashes: u64) {
     let now = Instant::now();
     let mut nodes: Vec<Quarantine> = (0..5).map(node).collect();
-    for index in 0..ends {
+    for index in 0..crashes {
         let index = usize::try_from(index).expect("small");
-        nodes[index].seen(now, ended(&[request(7)]));
+        nodes[index].seen(now, crashed(&[request(7)]));
     }
-    spread(now, &mut nodes);
+    converge(now, &mut nodes);
     nodes[4].seen(now, answered("service", request(7)));
-    spread(now, &mut nodes);
-    nodes[3].seen(now, ended(&[request(7)]));
-    spread(now, &mut nodes);
+    converge(now, &mut nodes);
+    nodes[3].seen(now, crashed(&[request(7)]));
+    converge(now, &mut nodes);
     for node in &nodes {
-        assert!(!is_held(node, now, request(7)));
+        assert!(!is_quarantined(node, now, request(7)));
     }
 }
 
-/// A part of a request's traffic goes to another service, which can run it. Its answers say
-/// nothing of the service whose upstreams end.
+/// Guards against a culprit that is cleared by answers of another service, which gets a share of
+/// the request's traffic and can run it.
 #[test]
-fn answered_by_another_service_clears_nothing() {
+fn answer_of_another_service_clears_nothing() {
     let now = Instant::now();
     let mut node = node(0);
     for _ in 0..3 {
-        node.seen(now, ended(&[request(7)]));
+        node.seen(now, crashed(&[request(7)]));
         node.seen(now, answered("other", request(7)));
     }
-    assert!(is_held(&node, now, request(7)));
+    assert!(is_quarantined(&node, now, request(7)));
 }
 
-/// A node hears late of an end that was cleared meanwhile: from one that was cut off and still
-/// tells it as it was. What was cleared stays so, in whichever order news come.
+/// Guards against a cleared crash that counts again when a node that was cut off sends its older
+/// state. A cleared crash stays cleared in whichever order updates arrive.
 #[test]
-fn merge_keeps_what_was_cleared() {
+fn merge_keeps_cleared_crashes() {
     let now = Instant::now();
     let mut nodes: Vec<Quarantine> = (0..3).map(node).collect();
     for _ in 0..3 {
-        nodes[0].seen(now, ended(&[request(7)]));
+        nodes[0].seen(now, crashed(&[request(7)]));
     }
-    let old = nodes[0].updates_for(now, None);
-    nodes[1].merge(now, old.clone());
+    let outdated = nodes[0].updates_for(now, None);
+    nodes[1].merge(now, outdated.clone());
     nodes[1].seen(now, answered("service", request(7)));
-    assert_eq!(nodes[1].merge(now, old.clone()), Change::None);
-    assert!(!is_held(&nodes[1], now, request(7)));
-    let told = nodes[1].updates_for(now, None);
-    nodes[2].merge(now, told);
-    nodes[2].merge(now, old);
-    assert!(!is_held(&nodes[2], now, request(7)));
+    assert_eq!(nodes[1].merge(now, outdated.clone()), Change::None);
+    assert!(!is_quarantined(&nodes[1], now, request(7)));
+    let updates = nodes[1].updates_for(now, None);
+    nodes[2].merge(now, updates);
+    nodes[2].merge(now, outdated);
+    assert!(!is_quarantined(&nodes[2], now, request(7)));
 }
 
-/// A node was cut off for longer than news are told, or has just started. The first exchange
-/// brings what is held back, and takes back what it still holds back and others cleared.
+/// Guards against a node whose quarantine stays wrong after it was cut off for longer than changes
+/// are gossiped, or after its start. The exchange after a digest mismatch adds the requests that
+/// others quarantine and clears those that others have cleared.
 #[test]
-fn updates_for_brings_a_node_up_to_date_that_missed_the_news() {
+fn updates_for_catches_up_a_node_that_missed_changes() {
     let began_at = Instant::now();
     let mut nodes: Vec<Quarantine> = (0..2).map(node).collect();
     for _ in 0..3 {
-        nodes[0].seen(began_at, ended(&[request(1)]));
-        nodes[1].seen(began_at, ended(&[request(2)]));
+        nodes[0].seen(began_at, crashed(&[request(1)]));
+        nodes[1].seen(began_at, crashed(&[request(2)]));
     }
-    spread(began_at, &mut nodes);
+    converge(began_at, &mut nodes);
     nodes[0].seen(began_at, answered("service", request(2)));
     for _ in 0..3 {
-        nodes[0].seen(began_at, ended(&[request(3)]));
+        nodes[0].seen(began_at, crashed(&[request(3)]));
     }
     let now = began_at + 60 * SECOND;
     assert!(
         nodes[0].updates_for(now, None).is_empty(),
-        "news are told no more"
+        "changes are no longer gossiped"
     );
-    let from_late = Peer {
+    let late_peer = Peer {
         digest: nodes[1].digest(),
         named: vec![],
     };
-    let told = nodes[0].updates_for(now, Some(&from_late));
-    nodes[1].merge(now, told.clone());
-    assert!(is_held(&nodes[1], now, request(3)));
-    let from_other = Peer {
+    let updates = nodes[0].updates_for(now, Some(&late_peer));
+    nodes[1].merge(now, updates.clone());
+    assert!(is_quarantined(&nodes[1], now, request(3)));
+    let other_peer = Peer {
         digest: nodes[0].digest(),
-        named: told.iter().map(|suspect| suspect.fingerprint).collect(),
+        named: updates.iter().map(|suspect| suspect.fingerprint).collect(),
     };
-    let told = nodes[1].updates_for(now, Some(&from_other));
-    let from_late = Peer {
+    let updates = nodes[1].updates_for(now, Some(&other_peer));
+    let late_peer = Peer {
         digest: nodes[1].digest(),
-        named: told.iter().map(|suspect| suspect.fingerprint).collect(),
+        named: updates.iter().map(|suspect| suspect.fingerprint).collect(),
     };
-    let told = nodes[0].updates_for(now, Some(&from_late));
-    nodes[1].merge(now, told);
-    assert!(!is_held(&nodes[1], now, request(2)));
+    let updates = nodes[0].updates_for(now, Some(&late_peer));
+    nodes[1].merge(now, updates);
+    assert!(!is_quarantined(&nodes[1], now, request(2)));
     assert_eq!(nodes[0].digest(), nodes[1].digest());
 }
 
-/// The same path with another body, from another client account or by another method is served as
-/// before. What came of a body when the upstream ended may be too little to tell it by; then the
-/// request is told by the rest.
+/// Guards against requests that are refused because they share the path of a quarantined request.
+/// A request with another body, client account or method passes. If too little of the body has
+/// arrived, the verdict waits for it.
 #[rstest]
 #[case::same(b"body", Some(4), true)]
 #[case::other_body(b"other", Some(5), false)]
-#[case::body_to_come(b"", None, false)]
-fn judge_tells_bodies_apart(
+#[case::body_pending(b"", None, false)]
+fn judge_distinguishes_bodies(
     #[case] body: &[u8],
     #[case] declared: Option<u64>,
-    #[case] held: bool,
+    #[case] quarantined: bool,
 ) {
     let fingerprint = |body: &[u8], declared| {
         let mut digest = fingerprint::Body::new(declared);
@@ -308,39 +319,41 @@
     let now = Instant::now();
     let mut node = node(0);
     for _ in 0..3 {
-        node.seen(now, ended(&[fingerprint(b"body", Some(4))]));
+        node.seen(now, crashed(&[fingerprint(b"body", Some(4))]));
     }
-    let asked = fingerprint(body, declared);
-    assert_eq!(is_held(&node, now, asked), held);
-    let verdict = node.screen().judge(now, asked);
-    assert_eq!(verdict == Verdict::BodyDecides, asked.body.is_none());
+    let sent = fingerprint(body, declared);
+    assert_eq!(is_quarantined(&node, now, sent), quarantined);
+    let verdict = node.screen().judge(now, sent);
+    assert_eq!(verdict == Verdict::BodyDecides, sent.body.is_none());
     let other = fingerprint::head("POST", "host", "/path", "other");
     let other = Fingerprint {
         head: other,
-        ..asked
+        ..sent
     };
     assert_eq!(node.screen().judge(now, other), Verdict::Pass);
 }
 
-/// Upstreams end before the body of a request that is sent slowly has come.
+/// Guards against a culprit that is never quarantined because its body is sent so slowly that
+/// upstreams crash before it has arrived: the head alone identifies it.
 #[test]
-fn judge_holds_by_the_head_where_no_body_was_seen() {
+fn judge_matches_the_head_if_no_body_arrived() {
     let now = Instant::now();
     let mut node = node(0);
-    let unseen = Fingerprint {
+    let without_body = Fingerprint {
         head: 7,
         body: None,
     };
     for _ in 0..3 {
-        node.seen(now, ended(&[unseen]));
+        node.seen(now, crashed(&[without_body]));
     }
-    assert!(is_held(&node, now, unseen));
-    assert!(is_held(&node, now, request(7)));
+    assert!(is_quarantined(&node, now, without_body));
+    assert!(is_quarantined(&node, now, request(7)));
     node.seen(now, answered("service", request(7)));
-    assert!(!is_held(&node, now, unseen));
+    assert!(!is_quarantined(&node, now, without_body));
 }
 
-/// A body that comes in parts has the digest of one that comes at once, however long it is.
+/// Guards against a digest that depends on how a body is split into parts, so that retries of one
+/// request get different fingerprints.
 #[rstest]
 #[case::short(100)]
 #[case::long(3 * fingerprint::BODY_MOST)]
@@ -351,24 +364,25 @@
     let mut whole = fingerprint::Body::new(None);
     whole.take(&bytes);
     whole.end();
-    let mut parts = fingerprint::Body::new(u64::try_from(length).ok());
+    let mut split = fingerprint::Body::new(u64::try_from(length).ok());
     for part in bytes.chunks(7) {
-        parts.take(part);
+        split.take(part);
     }
     assert!(whole.digest().is_some());
-    assert_eq!(whole.digest(), parts.digest());
+    assert_eq!(whole.digest(), split.digest());
 }
 
-/// Callers go on for two minutes. One trial comes after ten seconds and one a minute later, and
-/// the pauses grow; a trial that is told to other nodes counts there too.
+/// Guards against a request that crashes an upstream at a constant rate while its callers go on
+/// retrying. The first trial is due after ten seconds, the second a minute later, then the delay
+/// doubles; trials by other nodes count too.
 #[test]
-fn tried_waits_longer_each_time() {
+fn trial_delay_doubles() {
     let began_at = Instant::now();
     let mut nodes: Vec<Quarantine> = (0..3).map(node).collect();
     for _ in 0..3 {
-        nodes[0].seen(began_at, ended(&[request(7)]));
+        nodes[0].seen(began_at, crashed(&[request(7)]));
     }
-    spread(began_at, &mut nodes);
+    converge(began_at, &mut nodes);
     let mut trials = Vec::new();
     for second in 0..400 {
         let now = began_at + second * SECOND;
@@ -377,21 +391,22 @@
             .position(|node| node.screen().judge(now, request(7)) == Verdict::Trial);
         if let Some(node) = due {
             nodes[node].seen(now, Event::Tried(request(7)));
-            nodes[node].seen(now, ended(&[request(7)]));
-            spread(now, &mut nodes);
+            nodes[node].seen(now, crashed(&[request(7)]));
+            converge(now, &mut nodes);
             trials.push(second);
         }
     }
     assert_eq!(trials, vec![10, 70, 190]);
 }
 
-/// Its upstreams were mended: the trial is answered, and the request is served everywhere.
+/// Guards against a request that stays quarantined after its upstreams have been fixed: an answered
+/// trial ends the quarantine.
 #[test]
-fn tried_with_success_is_held_back_no_more() {
+fn answered_trial_ends_the_quarantine() {
     let began_at = Instant::now();
     let mut node = node(0);
     for _ in 0..3 {
-        node.seen(began_at, ended(&[request(7)]));
+        node.seen(began_at, crashed(&[request(7)]));
     }
     let now = began_at + 10 * SECOND;
     assert_eq!(node.screen().judge(now, request(7)), Verdict::Trial);
@@ -400,76 +415,80 @@
     assert_eq!(node.screen().judge(now, request(7)), Verdict::Pass);
 }
 
-/// All nodes that know the same hosts name the same one, and each request may have another.
+/// Guards against several nodes trying the same request: all nodes that know the same hosts choose
+/// the same one. Different requests are distributed over the hosts.
 #[test]
-fn trial_host_is_one_for_all() {
+fn trial_host_is_the_same_on_all_nodes() {
     let hosts: Vec<Arc<str>> = (0..20).map(|n| Arc::from(format!("host-{n}"))).collect();
-    let mut named = BTreeMap::new();
+    let mut requests_per_host = BTreeMap::new();
     for number in 0..100 {
         let here = trial_host(request(number), hosts.iter()).expect("one of them");
         let there = trial_host(request(number), hosts.iter().rev());
         assert_eq!(Some(here), there);
-        *named.entry(here).or_insert(0) += 1;
+        *requests_per_host.entry(here).or_insert(0) += 1;
     }
-    assert!(named.len() > 10, "{named:?}");
+    assert!(requests_per_host.len() > 10, "{requests_per_host:?}");
 }
 
-/// Somebody sends a thousand requests of this kind, or a zone is lost with a thousand in progress.
-/// What is remembered stays bounded, and a request under which three upstreams ended stays.
+/// Guards against unbounded memory when a caller sends a thousand requests that crash upstreams, or
+/// an availability zone is lost with a thousand in progress. A request with three crashes is not
+/// evicted.
 #[test]
-fn ended_a_thousand_times_remembers_the_worst() {
+fn a_thousand_crashes_keep_the_worst_suspect() {
     let now = Instant::now();
     let mut node = node(0);
     for _ in 0..3 {
-        node.seen(now, ended(&[request(0)]));
+        node.seen(now, crashed(&[request(0)]));
     }
     for number in 1..1000 {
-        node.seen(now, ended(&[request(number)]));
+        node.seen(now, crashed(&[request(number)]));
     }
     assert_eq!(node.len(), Settings::default().suspects_most);
-    assert!(is_held(&node, now, request(0)));
+    assert!(is_quarantined(&node, now, request(0)));
 }
 
-/// Nobody has sent it for an hour: it is forgotten on every node, also where it was heard of
-/// later, and not brought back by one that still remembers.
+/// Guards against a request that is never forgotten because nodes return it to each other. An hour
+/// after its last crash every node forgets it, also one that learned of it later, and an update
+/// that still contains it does not restore it.
 #[test]
-fn tick_forgets_what_is_no_longer_sent() {
+fn tick_forgets_requests_no_longer_sent() {
     let began_at = Instant::now();
     let mut nodes: Vec<Quarantine> = (0..2).map(node).collect();
     for _ in 0..3 {
-        nodes[0].seen(began_at, ended(&[request(7)]));
+        nodes[0].seen(began_at, crashed(&[request(7)]));
     }
     let later = began_at + 2 * SECOND;
-    let told = nodes[0].updates_for(later, None);
-    nodes[1].merge(later, told.clone());
+    let updates = nodes[0].updates_for(later, None);
+    nodes[1].merge(later, updates.clone());
     let hour_later = began_at + Settings::default().remember_for;
     for node in &mut nodes {
         node.tick(hour_later);
-        assert_eq!(node.merge(hour_later, told.clone()), Change::None);
+        assert_eq!(node.merge(hour_later, updates.clone()), Change::None);
         assert!(node.is_empty());
     }
 }
 
-/// A fleet as it is seen by this replay.
+/// State of the simulated fleet.
 struct Fleet {
-    /// What the node beside each upstream knows.
+    /// Quarantine of the node beside each upstream.
     nodes: Vec<Quarantine>,
-    /// When each upstream is there again.
-    back_at: Vec<Instant>,
-    ends: u32,
+    /// Time at which each upstream has restarted.
+    restarted_at: Vec<Instant>,
+    crashes: u32,
 }
 
-/// Replay of the load: nine upstreams that are back three seconds after an end; a request that
-/// ends them, repeated twelve times a second through any node, each repeat by up to two attempts;
-/// a tenth of a second until the news has spread. Placed like any other request it ends upstreams
-/// for as long as it is sent; held back, no more than were under way when the third ended.
+/// Guards against a request that crashes upstreams for as long as it is sent. Simulated load: nine
+/// upstreams that are back three seconds after a crash; a request that crashes them, retried
+/// twelve times a second through any node, each retry with up to two attempts; a tenth of a second
+/// until an update has reached all nodes. Without quarantine the crashes continue; with it, only
+/// requests already in flight at the third crash add more.
 #[rstest]
-#[case::placed_like_any_other(usize::MAX, 40, u32::MAX)]
-#[case::held_back(3, 3, 8)]
-fn replay_of_a_request_that_ends_upstreams(
+#[case::without_quarantine(usize::MAX, 40, u32::MAX)]
+#[case::with_quarantine(3, 3, 8)]
+fn simulation_of_a_request_that_crashes_upstreams(
     #[case] ends_least: usize,
-    #[case] at_least: u32,
-    #[case] at_most: u32,
+    #[case] min_crashes: u32,
+    #[case] max_crashes: u32,
 ) {
     let began_at = Instant::now();
     let settings = Settings {
@@ -480,42 +499,45 @@
         nodes: (0..9)
             .map(|n| Quarantine::new(settings.clone(), n))
             .collect(),
-        back_at: vec![began_at; 9],
-        ends: 0,
+        restarted_at: vec![began_at; 9],
+        crashes: 0,
     };
-    let mut under_way: Vec<(Instant, usize)> = Vec::new();
+    let mut in_flight: Vec<(Instant, usize)> = Vec::new();
     for step in 0..1_500_u32 {
         let now = began_at + step * Duration::from_millis(10);
-        let due: Vec<usize> = under_way
+        let due: Vec<usize> = in_flight
             .iter()
-            .filter(|(ends_at, _)| *ends_at <= now)
+            .filter(|(crashes_at, _)| *crashes_at <= now)
             .map(|(_, host)| *host)
             .collect();
-        under_way.retain(|(ends_at, _)| *ends_at > now);
+        in_flight.retain(|(crashes_at, _)| *crashes_at > now);
         for host in due {
-            fleet.nodes[host].seen(now, ended(&[request(1), request(1_000 + u64::from(step))]));
-            fleet.back_at[host] = now + 3 * SECOND;
-            fleet.ends += 1;
+            fleet.nodes[host].seen(
+                now,
+                crashed(&[request(1), request(1_000 + u64::from(step))]),
+            );
+            fleet.restarted_at[host] = now + 3 * SECOND;
+            fleet.crashes += 1;
         }
         if step % 10 == 0 {
-            spread(now, &mut fleet.nodes);
+            converge(now, &mut fleet.nodes);
         }
         if step % 8 != 0 {
             continue;
         }
-        let free = (0..9).find(|host| {
-            let busy = under_way.iter().any(|(_, other)| other == host);
-            !busy && fleet.back_at[*host] <= now
+        let free_host = (0..9).find(|host| {
+            let busy = in_flight.iter().any(|(_, other)| other == host);
+            !busy && fleet.restarted_at[*host] <= now
         });
-        if let Some(host) = free
-            && !is_held(&fleet.nodes[host], now, request(1))
+        if let Some(host) = free_host
+            && !is_quarantined(&fleet.nodes[host], now, request(1))
         {
-            under_way.push((now + Duration::from_millis(100), host));
+            in_flight.push((now + Duration::from_millis(100), host));
         }
     }
     assert!(
-        fleet.ends >= at_least && fleet.ends <= at_most,
+        fleet.crashes >= min_crashes && fleet.crashes <= max_crashes,
         "{}",
-        fleet.ends
+        fleet.crashes
     );
 }
