--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -1,14 +1,15 @@
-//! Where a request may go: the operators' routing table, and which version is in force.
+//! The operators' routing table and the version in force on a node.
 //!
 //! A request matches the route of its host with the longest prefix of its path. The route
-//! says to which services requests are split and by which weights, whether a request may
-//! be repeated, and how urgent it is. A node only ever takes a table of a higher version.
+//! defines the services among which requests are split and their weights, whether a request may
+//! be retried after it may have run, and its priority. A node accepts only tables of a higher
+//! version.
 //!
-//! A document that is whole may hold a route of which something cannot be read, because it was
-//! written for a newer version of the node. The other routes hold. A kind that is not known is
-//! taken as one that may not be repeated, which is safe for every kind; any other route that
-//! cannot be read is kept as a closed one, so that its requests are refused and do not fall to
-//! a route with a shorter prefix. What was not read is kept beside the table as [`Fault`]s.
+//! A well-formed document may contain a route that cannot be parsed in part because it was written
+//! for a newer version of the node. The other routes apply. An unknown kind is treated as
+//! non-idempotent, which is safe for every kind; any other route that cannot be parsed is kept as a
+//! closed one, so that its requests are refused and do not match a route with a shorter prefix.
+//! The parts that could not be parsed are reported as [`Fault`]s of the table.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,11 +17,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Step of the low-discrepancy sequence that spreads requests over the parts of a split:
+/// Step of the low-discrepancy sequence that distributes requests over the services of a split:
 /// the fractional part of the golden ratio.
 const GOLDEN_STEP: f64 = 0.618_033_988_749_894_9;
 
-/// Number of a routing table; a higher one replaces a lower one.
+/// Version of a routing table; a higher one replaces a lower one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -31,69 +32,69 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Running it again does no harm.
+    /// Running the request again does no harm.
     Idempotent,
-    /// It may run at most once.
+    /// The request may run at most once.
     #[default]
     NonIdempotent,
 }
 
-/// One part of a split.
+/// A service and its weight in a traffic split.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Part {
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Its share, relative to the other parts.
+    /// Share of the requests, relative to the other weights of the split.
     pub weight: u32,
 }
 
-/// One route of a host.
+/// Route of a host for one path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name of the route, for logs.
     pub name: Arc<str>,
-    /// What the path must begin with.
+    /// Prefix that the request's path must have.
     pub prefix: Arc<str>,
     /// Whether a request may run more than once.
     pub kind: Kind,
-    /// Services that take its requests.
+    /// Services among which the requests are split.
     pub parts: Vec<Part>,
-    /// Longest time a request is kept waiting.
+    /// Maximum time that a caller waits for the response.
     #[serde(with = "humantime_serde")]
     pub timeout: Duration,
-    /// Time within which an answer is worth most to the caller.
+    /// Latency up to which a response has its full value to the caller.
     #[serde(with = "humantime_serde")]
     pub target_latency: Duration,
-    /// Upstreams to which one request may be handed.
+    /// Maximum number of upstreams to which one request may be sent.
     pub attempts: u32,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the highest.
     pub priority: u8,
 }
 
-/// What the table says of a service.
+/// Configuration of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Path of its health check.
+    /// Path of the health check.
     pub health_path: Arc<str>,
-    /// Connections that one upstream accepts from all callers together.
+    /// Maximum number of connections that one upstream accepts from all callers together.
     pub connections_most: u32,
-    /// Requests a second that one upstream bears while it is cold.
+    /// Request rate, per second, that one upstream can serve while it is cold.
     #[serde(default)]
     pub cold_requests_per_second: Option<f64>,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on the size and the timing of callers' requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Bytes of a request's header section.
+    /// Maximum size of a request's header section, in bytes.
     pub header_bytes: u64,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: u64,
-    /// Time for a header section to arrive.
+    /// Timeout for a header section to arrive.
     #[serde(with = "humantime_serde")]
     pub header_within: Duration,
     /// Time after which an idle connection may be closed.
@@ -112,13 +113,13 @@
     }
 }
 
-/// A whole routing table.
+/// A routing table.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Table {
-    /// Its number.
+    /// Version of the table.
     pub version: Version,
-    /// What callers may send.
+    /// Limits on callers' requests.
     #[serde(default)]
     pub limits: Limits,
     /// Routes by host.
@@ -126,22 +127,22 @@
     /// Services by name.
     #[serde(default)]
     pub services: BTreeMap<Arc<str>, Service>,
-    /// What of its routes could not be read.
+    /// Parts of the routes that could not be parsed.
     #[serde(skip)]
     pub faults: Vec<Fault>,
 }
 
-/// Something of a route that could not be read.
+/// Part of a route that could not be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The route's name, or its prefix where the name was not read either.
+    /// Name of the route, or its prefix if the name could not be parsed either.
     pub route: Arc<str>,
-    /// Where in the route it stands, and why it was not read.
+    /// Location within the route and the parse error.
     pub cause: Arc<str>,
 }
 
 impl Table {
-    /// The route of a request; `None` if the table has none for it.
+    /// Returns the route of a request; `None` if no route matches.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         self.hosts
@@ -153,12 +154,12 @@
 }
 
 impl Route {
-    /// A route that could not be read: it takes its requests, and no service serves them.
+    /// Creates a closed route, for one that could not be parsed: it matches its requests, but no
+    /// service serves them.
     ///
-    /// Failure: one route of a table holds something that the node does not know. Symptom: if
-    /// the whole table were refused, no request would be served; if the route were left out,
-    /// its requests would run at the service of a shorter prefix. A route without parts does
-    /// neither.
+    /// Failure: one route of a table contains something unknown to the node. Symptom: if the whole
+    /// table were rejected, no request would be served; if the route were left out, its requests
+    /// would run at the service of a shorter prefix. A route without services avoids both.
     #[must_use]
     pub fn closed(name: Arc<str>, prefix: Arc<str>) -> Self {
         Self {
@@ -173,20 +174,21 @@
         }
     }
 
-    /// The service that takes the request with this number, counted by the node.
+    /// Returns the service for the request with this sequence number, counted by the node; `None`
+    /// if the route is closed.
     ///
-    /// Numbers in a row are spread evenly over the weights, so that a part's share is met
-    /// within a few requests and not only on average. `None` if the route is closed.
+    /// Consecutive numbers are distributed evenly over the weights, so that each service gets its
+    /// share within a few requests and not only on average.
     #[must_use]
     pub fn service(&self, number: u64) -> Option<&Arc<str>> {
         if let [only] = self.parts.as_slice() {
             return Some(&only.service);
         }
         let total: f64 = self.parts.iter().map(|part| f64::from(part.weight)).sum();
-        let mut left = spread(number) * total;
+        let mut remaining = low_discrepancy(number) * total;
         for part in &self.parts {
-            left -= f64::from(part.weight);
-            if left < 0.0 {
+            remaining -= f64::from(part.weight);
+            if remaining < 0.0 {
                 return Some(&part.service);
             }
         }
@@ -194,28 +196,29 @@
     }
 }
 
+/// Returns an element, in `0.0..1.0`, of the low-discrepancy sequence.
 #[allow(clippy::cast_precision_loss)]
-fn spread(number: u64) -> f64 {
-    /// Numbers are taken modulo this, so that the product keeps its fraction exactly enough.
+fn low_discrepancy(number: u64) -> f64 {
+    /// Numbers are reduced modulo this, so that the product keeps a sufficiently exact fraction.
     const PERIOD: u64 = 1 << 32;
     ((number % PERIOD) as f64 * GOLDEN_STEP).fract()
 }
 
-/// A table with the document it was read from, which passes between nodes unchanged.
+/// A table with the document it was parsed from, which nodes pass on unchanged.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Document {
-    /// The table.
+    /// The parsed table.
     pub table: Table,
     /// The document as operators wrote it, compressed.
     pub packed: Arc<[u8]>,
 }
 
-/// What became of a table offered to a register.
+/// Result of offering a table to a register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offered {
-    /// It is newer and now in force here.
-    Taken,
-    /// It is the one in force here, or an older one.
+    /// The table is newer and now in force.
+    Accepted,
+    /// The table is the one in force, or an older one.
     NotNewer,
 }
 
@@ -226,32 +229,32 @@
 }
 
 impl Register {
-    /// Takes a document if it is newer.
+    /// Puts a document in force if it is newer.
     ///
-    /// Failure: a stale read, an old event or a peer that was cut off brings an older
-    /// table. Symptom: requests go where operators no longer send them. Only higher
-    /// versions are taken, wherever they come from.
+    /// Failure: a stale read, an old event or a peer that was cut off delivers an older table.
+    /// Symptom: requests go to services that operators have removed from the route. Only higher
+    /// versions are accepted, whatever their source.
     pub fn offer(&mut self, offered: Document) -> Offered {
         if !self.is_older_than(offered.table.version) {
             return Offered::NotNewer;
         }
         self.current = Some(Arc::new(offered));
-        Offered::Taken
+        Offered::Accepted
     }
 
-    /// Whether a table of this version would be taken, for a look before the work of reading it.
+    /// Returns whether a table of this version would be accepted, to check before parsing it.
     #[must_use]
     pub fn is_older_than(&self, version: Version) -> bool {
         self.version() < version
     }
 
-    /// The document in force here; `None` until the first is known.
+    /// Returns the document in force; `None` before the first one.
     #[must_use]
     pub const fn current(&self) -> Option<&Arc<Document>> {
         self.current.as_ref()
     }
 
-    /// The version in force here; 0 until the first is known.
+    /// Returns the version in force; 0 before the first document.
     #[must_use]
     pub fn version(&self) -> Version {
         self.current
--- a/crates/core/tests/route.rs
+++ b/crates/core/tests/route.rs
@@ -1,4 +1,4 @@
-//! Routes: the longest prefix, the shares of a split, versions that never fall.
+//! Routes: matching of the longest prefix, shares of a split, and monotonic versions.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
 #[case::short("/a/x", Some("/a/"))]
 #[case::long("/a/b/x", Some("/a/b/"))]
 #[case::other_path("/c/", None)]
-#[case::not_whole("/a", None)]
+#[case::incomplete_prefix("/a", None)]
 fn find_takes_the_longest_prefix(#[case] path: &str, #[case] expected: Option<&str>) {
     let table = table(1, vec![route("/a/", &[]), route("/a/b/", &[])]);
     let found = table.find("shop.example", path);
@@ -51,12 +51,13 @@
     assert!(table.find("other.example", path).is_none());
 }
 
-/// Callers of a route split 90 to 10 see the small part within any forty requests, and
-/// its share within two in a hundred over a thousand.
+/// Guards against a split that meets its weights only on average, so that a small share gets no
+/// requests for long. With weights of 90 and 10, the small service gets 2 to 6 of any forty
+/// requests and 80 to 120 of a thousand.
 #[test]
 fn service_meets_the_weights_in_short_runs() {
     let route = route("/a/", &[("large", 90), ("small", 10)]);
-    let small = |numbers: std::ops::Range<u64>| {
+    let count_small = |numbers: std::ops::Range<u64>| {
         numbers
             .filter(|number| {
                 route
@@ -66,24 +67,27 @@
             .count()
     };
     for start in (0..2_000).step_by(40) {
-        assert!((2..=6).contains(&small(start..start + 40)), "from {start}");
+        assert!(
+            (2..=6).contains(&count_small(start..start + 40)),
+            "from {start}"
+        );
     }
-    assert!((80..=120).contains(&small(5_000..6_000)));
+    assert!((80..=120).contains(&count_small(5_000..6_000)));
 }
 
-/// A peer that was cut off offers an older table, or a read returns the same again: the
-/// one in force stays.
+/// Guards against a table that is replaced by an older one from a peer that was cut off, or by the
+/// same one from a repeated read.
 #[rstest]
-#[case::newer(8, Offered::Taken, 8)]
+#[case::newer(8, Offered::Accepted, 8)]
 #[case::same(7, Offered::NotNewer, 7)]
 #[case::older(6, Offered::NotNewer, 7)]
-fn offer_takes_only_higher_versions(
+fn offer_accepts_only_higher_versions(
     #[case] version: u64,
     #[case] expected: Offered,
     #[case] in_force: u64,
 ) {
     let mut register = Register::default();
-    assert_eq!(register.offer(document(7)), Offered::Taken);
+    assert_eq!(register.offer(document(7)), Offered::Accepted);
     assert_eq!(register.offer(document(version)), expected);
     assert_eq!(register.version(), Version(in_force));
 }
