--- a/crates/core/src/configs/membership.rs
+++ b/crates/core/src/configs/membership.rs
@@ -1,4 +1,4 @@
-//! Settings of the exchange between nodes.
+//! Settings of the membership exchanges between nodes.
 
 use std::time::Duration;
 
@@ -8,26 +8,27 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Time between two exchanges started by one node.
+    /// Interval between two exchanges started by one node.
     #[serde(with = "humantime_serde")]
     pub period: Duration,
-    /// A peer that has not answered an exchange by then is asked about through others.
+    /// Timeout of an exchange. Other nodes are then asked to probe the peer.
     #[serde(with = "humantime_serde")]
     pub answer_within: Duration,
-    /// Peers asked about one that did not answer.
+    /// Number of peers asked to probe a peer that did not answer.
     pub relays: usize,
-    /// A suspected host is dead unless it speaks up within this time.
+    /// Time after which a suspected host is considered dead unless it refutes the suspicion.
     #[serde(with = "humantime_serde")]
     pub suspicion: Duration,
-    /// How long a dead or departed host is remembered, so that old news cannot revive it.
+    /// How long the record of a dead or departed host is retained as a tombstone, so that an
+    /// outdated record cannot revive it.
     #[serde(with = "humantime_serde")]
     pub forget_after: Duration,
-    /// News records carried by one exchange.
+    /// Maximum number of updated records carried by one exchange.
     pub records_most: usize,
-    /// Times a record is sent on, multiplied by the logarithm of the number of members. At 1 a
-    /// node of 510 hears of a change from ten others on average.
+    /// Number of times a record is retransmitted, as a multiple of the logarithm of the number of
+    /// members. At 1, a node in a fleet of 510 receives a change from ten others on average.
     pub news_rounds: u32,
-    /// Nodes in each availability zone that watch the store and keep an entry in it.
+    /// Number of nodes in each availability zone that watch the store and keep an entry in it.
     pub holders_per_zone: usize,
 }
 
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,8 +1,9 @@
-//! Who is there: records of all hosts, spread from node to node.
+//! Cluster membership: records of all hosts, distributed by gossip.
 //!
-//! Each node owns its record and numbers its versions. Nodes exchange updates in rounds:
-//! one peer a round, whatever the size of the fleet. A peer that does not answer is
-//! asked about through others, then suspected, then dead unless it speaks up.
+//! Each node owns its record and numbers its versions. Nodes exchange updates in rounds, each
+//! node with one peer a round, whatever the size of the fleet. A peer that does not answer is
+//! probed through other nodes, then suspected, then considered dead unless it refutes the
+//! suspicion.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -18,82 +19,84 @@
 
 use crate::configs::membership::Settings;
 
-/// A record is sent on as if there were at least 500 members: a node that has just started knows
-/// a few of them, and what it sent on once or twice would stay unknown to most.
-const ROUNDS_LEAST: u32 = 10;
+/// Lower bound of the logarithm that sets how often a record is sent, equal to that of 500 members:
+/// a node that has just started knows only a few of them, and a record that it sent only once or
+/// twice would not reach most members.
+const MIN_GOSSIP_ROUNDS: u32 = 10;
 
-/// How a host stands in the eyes of the others; later variants outweigh earlier ones.
+/// Liveness of a host as seen by other nodes. Between records of the same version, later variants
+/// supersede earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Standing {
-    /// It answers.
+    /// The host answers.
     Alive,
-    /// It did not answer, neither directly nor through others.
+    /// The host did not answer, neither directly nor through other nodes.
     Suspect,
-    /// It stayed silent for the time of suspicion.
+    /// The host did not refute the suspicion in time.
     Dead,
-    /// It said goodbye.
+    /// The host left the fleet on its own initiative.
     Left,
 }
 
-/// The upstream beside a node.
+/// State of the upstream beside a node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Upstream {
-    /// The service it offers.
+    /// Service that the upstream offers.
     pub service: Arc<str>,
-    /// Requests it may have at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// It takes nothing new.
+    /// Whether the upstream is draining and accepts no new requests.
     pub leaving: bool,
 }
 
-/// Order of two records about the same host.
+/// Version of a host's record; defines which of two records is newer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// Start of the process, in milliseconds since the Unix epoch, or later if others
-    /// remembered a later one.
+    /// Start time of the process in milliseconds since the Unix epoch, or the higher value
+    /// of an earlier record of this host that peers still have.
     pub incarnation: u64,
-    /// Changes since then.
+    /// Number of changes within this incarnation.
     pub change: u64,
 }
 
-/// What is known of one host.
+/// Membership record of one host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
     /// Name of the host.
     pub host: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub availability_zone: Arc<str>,
-    /// Where its node takes requests from peers.
+    /// Address at which the node accepts requests from peers.
     pub peer_address: SocketAddr,
-    /// Where its node takes exchanges.
+    /// Address at which the node accepts exchanges.
     pub control_address: SocketAddr,
-    /// Where its node answers operators.
+    /// Address of the node's operator API.
     pub operators_address: SocketAddr,
-    /// Which record is newer.
+    /// Version of this record.
     pub version: Version,
-    /// How it stands.
+    /// Liveness of the host.
     pub standing: Standing,
-    /// The upstream beside it, while announced.
+    /// Upstream beside the node, while announced.
     pub upstream: Option<Upstream>,
-    /// Whether its node reads packed records.
+    /// Whether the node can decode packed records.
     #[serde(default)]
     pub packs: bool,
 }
 
-/// Which record of a host is meant.
+/// Identifies one version of a host's record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Summary {
     /// Name of the host.
     pub host: Arc<str>,
-    /// Which record of it.
+    /// Version of the record.
     pub version: Version,
-    /// How it stands there.
+    /// Liveness in that record.
     pub standing: Standing,
 }
 
 impl Record {
-    /// What tells this record from others.
+    /// Returns the summary that identifies this record.
     #[must_use]
     pub fn summary(&self) -> Summary {
         Summary {
@@ -103,44 +106,47 @@
         }
     }
 
-    fn is(&self, summary: &Summary) -> bool {
+    fn matches(&self, summary: &Summary) -> bool {
         self.host == summary.host
             && self.version == summary.version
             && self.standing == summary.standing
     }
 
-    fn outweighs(&self, other: &Self) -> bool {
+    fn supersedes(&self, other: &Self) -> bool {
         (self.version, self.standing) > (other.version, other.standing)
     }
 
-    /// Whether requests and exchanges may be sent to it.
+    /// Whether requests and exchanges may be sent to the host.
     #[must_use]
     pub fn is_present(&self) -> bool {
         self.standing <= Standing::Suspect
     }
 }
 
-/// All records that one node knows.
+/// All records known to one node.
 #[derive(Debug)]
 pub struct Table {
     settings: Settings,
     own: Record,
     others: BTreeMap<Arc<str>, Entry>,
+    /// Hosts whose records are still to be sent, and how many more times.
     updates: BTreeMap<Arc<str>, u32>,
-    round: Vec<Arc<str>>,
+    /// Peers not yet contacted in the current pass.
+    remaining_peers: Vec<Arc<str>>,
     rng: ChaCha8Rng,
 }
 
 #[derive(Debug)]
 struct Entry {
     record: Record,
-    changes_at: Option<Instant>,
-    /// Whether its standing is what this node alone has seen, and is told to nobody.
-    own_guess: bool,
+    /// When a suspect becomes dead, or a dead or departed host is removed.
+    transition_at: Option<Instant>,
+    /// Whether only this node has observed the standing. It is then not sent to peers.
+    is_unconfirmed: bool,
 }
 
 impl Table {
-    /// A node that knows only itself.
+    /// Creates the table of a node that knows only itself.
     #[must_use]
     pub fn new(settings: Settings, own: Record, seed: u64) -> Self {
         let mut table = Self {
@@ -148,36 +154,36 @@
             updates: BTreeMap::new(),
             own,
             others: BTreeMap::new(),
-            round: Vec::new(),
+            remaining_peers: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
         table.spread_own();
         table
     }
 
-    /// This node's own record.
+    /// Returns this node's own record.
     #[must_use]
     pub const fn own(&self) -> &Record {
         &self.own
     }
 
-    /// All records but the own one.
+    /// Returns the records of all other hosts.
     pub fn others(&self) -> impl Iterator<Item = &Record> {
         self.others.values().map(|entry| &entry.record)
     }
 
-    /// Records of hosts that are there, the own one included.
+    /// Returns the records of all hosts that are alive or suspected, including this one.
     pub fn present(&self) -> impl Iterator<Item = &Record> {
         std::iter::once(&self.own).chain(self.others().filter(|record| record.is_present()))
     }
 
-    /// Whether any other host is taken to be there.
+    /// Whether any other host is alive or suspected.
     #[must_use]
     pub fn knows_peers(&self) -> bool {
         self.others().any(Record::is_present)
     }
 
-    /// Whether the node at this control address is known to read packed records.
+    /// Whether the node at this control address is known to decode packed records.
     #[must_use]
     pub fn reads_packed(&self, control_address: SocketAddr) -> bool {
         let mut others = self.others();
@@ -189,7 +195,7 @@
         records.shuffle(&mut self.rng);
     }
 
-    /// Takes the state of the upstream beside this node; true if it changed.
+    /// Sets the state of the upstream beside this node; returns true if it changed.
     pub fn set_upstream(&mut self, upstream: Option<Upstream>) -> bool {
         if self.own.upstream == upstream {
             return false;
@@ -200,61 +206,63 @@
         true
     }
 
-    /// This node says goodbye.
+    /// Marks this node as left.
     pub fn leave(&mut self) {
         self.own.standing = Standing::Left;
         self.own.version.change += 1;
         self.spread_own();
     }
 
-    /// Takes in a record from a peer; true if it changed the table.
+    /// Merges a record received from a peer; returns true if it changed the table.
     pub fn merge(&mut self, now: Instant, record: Record) -> bool {
         if record.host == self.own.host {
             return self.refute(&record);
         }
         if let Some(entry) = self.others.get(&record.host) {
-            let speaks_up = entry.own_guess && record.version == entry.record.version;
-            if !speaks_up && !record.outweighs(&entry.record) {
+            let clears_suspicion = entry.is_unconfirmed && record.version == entry.record.version;
+            if !clears_suspicion && !record.supersedes(&entry.record) {
                 return false;
             }
         }
-        let known = self.others.contains_key(&record.host);
-        if !known && !record.is_present() {
+        let is_known = self.others.contains_key(&record.host);
+        if !is_known && !record.is_present() {
             return false;
         }
         let host = Arc::clone(&record.host);
-        let changes_at = self.change_due(now, record.standing);
+        let transition_at = self.next_transition_at(now, record.standing);
         self.others.insert(
             Arc::clone(&host),
             Entry {
                 record,
-                changes_at,
-                own_guess: false,
+                transition_at,
+                is_unconfirmed: false,
             },
         );
         self.spread(host);
         true
     }
 
-    /// A peer answered: whatever was suspected of this version of it is over.
+    /// Records that a peer answered: clears any suspicion against this version of its record.
     pub fn answered(&mut self, host: &str) {
         let Some(entry) = self.others.get_mut(host) else {
             return;
         };
-        if entry.own_guess || entry.record.standing == Standing::Suspect {
+        if entry.is_unconfirmed || entry.record.standing == Standing::Suspect {
             entry.record.standing = Standing::Alive;
-            entry.changes_at = None;
-            entry.own_guess = false;
+            entry.transition_at = None;
+            entry.is_unconfirmed = false;
         }
     }
 
-    /// A peer answered neither directly nor through others; `confirmed` if one of those said so.
+    /// Marks a peer as suspect that answered neither directly nor through other nodes;
+    /// `confirmed` is true if at least one of those reported that it could not reach the peer.
     ///
-    /// Failure: this node is cut off. Symptom: it takes all others for dead, one after the other,
-    /// and once it is back it tells them so; each is out of use everywhere until it has spoken
-    /// up. What no other node confirms counts here alone.
+    /// Failure: this node is cut off from the network. Symptom: it considers all other hosts
+    /// dead, one after the other, and spreads this once it is reconnected; each host then receives
+    /// no requests from any node until it has refuted the claim. A suspicion that no other node
+    /// confirms therefore stays local to this node.
     pub fn unanswered(&mut self, now: Instant, host: &str, confirmed: bool) {
-        let due = self.change_due(now, Standing::Suspect);
+        let transition_at = self.next_transition_at(now, Standing::Suspect);
         let Some(entry) = self.others.get_mut(host) else {
             return;
         };
@@ -262,20 +270,21 @@
             return;
         }
         entry.record.standing = Standing::Suspect;
-        entry.changes_at = due;
-        entry.own_guess = !confirmed;
+        entry.transition_at = transition_at;
+        entry.is_unconfirmed = !confirmed;
         let host = Arc::clone(&entry.record.host);
         if confirmed {
             self.spread(host);
         }
     }
 
-    /// Turns suspects into dead and forgets the long dead; true if anything changed.
+    /// Marks expired suspects as dead and removes expired dead and departed hosts; returns true if
+    /// anything changed.
     pub fn tick(&mut self, now: Instant) -> bool {
         let due: Vec<Arc<str>> = self
             .others
             .iter()
-            .filter(|(_, entry)| entry.changes_at.is_some_and(|at| now >= at))
+            .filter(|(_, entry)| entry.transition_at.is_some_and(|at| now >= at))
             .map(|(host, _)| Arc::clone(host))
             .collect();
         for host in &due {
@@ -284,18 +293,19 @@
         !due.is_empty()
     }
 
-    /// The peer for the next round: each once in a random order before any again. A node that
-    /// takes all others for dead asks those it has not forgotten: it may have been cut off.
+    /// Returns the peer for the next round. Each peer is returned once in a random order before
+    /// any is repeated. A node that considers all others dead contacts those that are still in
+    /// its table, since it may itself have been cut off.
     pub fn next_peer(&mut self) -> Option<Record> {
-        if self.round.is_empty() {
-            self.round = self.present_others();
-            if self.round.is_empty() {
-                self.round = self.others.keys().cloned().collect();
+        if self.remaining_peers.is_empty() {
+            self.remaining_peers = self.present_others();
+            if self.remaining_peers.is_empty() {
+                self.remaining_peers = self.others.keys().cloned().collect();
             }
-            self.round.shuffle(&mut self.rng);
+            self.remaining_peers.shuffle(&mut self.rng);
         }
         let alone = !self.knows_peers();
-        while let Some(host) = self.round.pop() {
+        while let Some(host) = self.remaining_peers.pop() {
             let known = self.others.get(&host).map(|entry| &entry.record);
             if let Some(record) = known.filter(|record| alone || record.is_present()) {
                 return Some(record.clone());
@@ -304,50 +314,51 @@
         None
     }
 
-    /// Peers to ask about one that did not answer.
-    pub fn relays(&mut self, about: &str) -> Vec<Record> {
+    /// Returns peers to ask about `target`, which did not answer.
+    pub fn relays(&mut self, target: &str) -> Vec<Record> {
         let relays = self.settings.relays;
-        self.sample(relays, about)
+        self.sample(relays, target)
     }
 
-    /// Peers to tell something at once.
-    pub fn sample(&mut self, most: usize, except: &str) -> Vec<Record> {
+    /// Returns up to `max_count` random peers that are alive, excluding the host `except`.
+    pub fn sample(&mut self, max_count: usize, except: &str) -> Vec<Record> {
         self.others
             .values()
             .map(|entry| &entry.record)
             .filter(|record| record.standing == Standing::Alive)
             .filter(|record| record.host.as_ref() != except)
             .cloned()
-            .sample(&mut self.rng, most)
+            .sample(&mut self.rng, max_count)
     }
 
-    /// Records to send with the next exchange.
+    /// Returns the records to send with the next exchange and counts them as sent.
     pub fn take_updates(&mut self) -> Vec<Record> {
         self.take_updates_beside(&[])
     }
 
-    /// Records to send to a peer that has just sent these.
-    pub fn take_updates_beside(&mut self, known: &[Summary]) -> Vec<Record> {
+    /// Returns the records to send to a peer that has just sent the records in `received`,
+    /// leaving out those that the peer already has, and counts them as sent.
+    pub fn take_updates_beside(&mut self, received: &[Summary]) -> Vec<Record> {
         let is_known = |host: &Arc<str>| {
-            let sent = known.iter().find(|summary| summary.host == *host);
+            let summary = received.iter().find(|summary| summary.host == *host);
             let record = self.record(host);
-            sent.is_some_and(|sent| record.is_some_and(|record| record.is(sent)))
+            summary.is_some_and(|summary| record.is_some_and(|record| record.matches(summary)))
         };
-        let mut hottest: Vec<(u32, Arc<str>)> = self
+        let mut candidates: Vec<(u32, Arc<str>)> = self
             .updates
             .iter()
             .filter(|(host, _)| !is_known(host))
-            .map(|(host, left)| (*left, Arc::clone(host)))
+            .map(|(host, remaining)| (*remaining, Arc::clone(host)))
             .collect();
-        hottest.sort_by(|a, b| b.cmp(a));
-        hottest.truncate(self.settings.records_most);
-        hottest
+        candidates.sort_by(|a, b| b.cmp(a));
+        candidates.truncate(self.settings.records_most);
+        candidates
             .into_iter()
-            .filter_map(|(_, host)| self.take_one(&host))
+            .filter_map(|(_, host)| self.record_to_send(&host))
             .collect()
     }
 
-    /// Digest of who is there in which version; equal tables have equal digests.
+    /// Returns a digest of the present hosts and their versions; equal tables have equal digests.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.present()
@@ -359,35 +370,36 @@
             .fold(0, |sum, hash| sum ^ hash)
     }
 
-    /// Whether this node is among the few of its zone that use the store.
+    /// Whether this node is one of the designated readers of the store in its zone.
     ///
-    /// The few are the first by a hash of the name, so all nodes with the same view
-    /// agree, and their number follows the zones and not the fleet.
+    /// The designated readers are the first nodes by a hash of the host name, so all nodes with
+    /// the same view agree, and their number depends on the number of zones and not on the size
+    /// of the fleet.
     #[must_use]
     pub fn is_holder(&self) -> bool {
         self.successor_place() == 0
     }
 
-    /// This node's place among those that take over when the regular users of the store in its
-    /// zone fail; 0 if it is one of them.
+    /// Returns this node's position among the successors that take over when the designated
+    /// readers of its zone fail; 0 if it is a designated reader.
     #[must_use]
     pub fn successor_place(&self) -> usize {
-        let own = rank(&self.own.host);
+        let own = hash_rank(&self.own.host);
         let ahead = self
             .zone()
             .filter(|record| record.standing == Standing::Alive)
-            .filter(|record| rank(&record.host) < own)
+            .filter(|record| hash_rank(&record.host) < own)
             .count();
         (ahead + 1).saturating_sub(self.settings.holders_per_zone)
     }
 
-    /// Whether this host comes before the own one in the order of the zone.
+    /// Whether `host` comes before this node in the order of the zone.
     #[must_use]
     pub fn is_ahead(&self, host: &str) -> bool {
-        rank(host) < rank(&self.own.host)
+        hash_rank(host) < hash_rank(&self.own.host)
     }
 
-    /// Records of the others in this node's zone.
+    /// Returns the records of the other hosts in this node's zone.
     pub fn zone(&self) -> impl Iterator<Item = &Record> {
         self.others()
             .filter(|record| record.availability_zone == self.own.availability_zone)
@@ -400,13 +412,14 @@
             .collect()
     }
 
-    /// Someone spoke about this node: answer with a version that outweighs it.
+    /// Raises the version of this node's own record above that of a record about it received
+    /// from a peer, if that one supersedes the own record; returns true if it did.
     ///
-    /// Failure: a frozen node wakes, or is replaced by one whose clock is behind.
-    /// Symptom: peers hold it dead or in a later version and ignore what it says. The
-    /// higher version makes its own word count again.
+    /// Failure: a frozen process resumes, or is replaced by one whose clock is behind. Symptom:
+    /// peers have a record that it is dead or one with a later version, and ignore its updates.
+    /// The higher version makes peers accept its record again.
     fn refute(&mut self, record: &Record) -> bool {
-        if !record.outweighs(&self.own) {
+        if !record.supersedes(&self.own) {
             return false;
         }
         if record.version.incarnation > self.own.version.incarnation {
@@ -418,14 +431,14 @@
     }
 
     fn advance(&mut self, now: Instant, host: &Arc<str>) {
-        let due = self.change_due(now, Standing::Dead);
+        let transition_at = self.next_transition_at(now, Standing::Dead);
         let Some(entry) = self.others.get_mut(host) else {
             return;
         };
         if entry.record.standing == Standing::Suspect {
             entry.record.standing = Standing::Dead;
-            entry.changes_at = due;
-            if !entry.own_guess {
+            entry.transition_at = transition_at;
+            if !entry.is_unconfirmed {
                 self.spread(Arc::clone(host));
             }
             return;
@@ -434,7 +447,7 @@
         self.updates.remove(host);
     }
 
-    fn change_due(&self, now: Instant, standing: Standing) -> Option<Instant> {
+    fn next_transition_at(&self, now: Instant, standing: Standing) -> Option<Instant> {
         match standing {
             Standing::Alive => None,
             Standing::Suspect => Some(now + self.settings.suspicion),
@@ -442,7 +455,7 @@
         }
     }
 
-    /// Spreads this node's own record again, as a peer may lack it.
+    /// Queues this node's own record for the next exchanges again, since a peer may lack it.
     pub fn spread_own(&mut self) {
         let host = Arc::clone(&self.own.host);
         self.spread(host);
@@ -450,22 +463,22 @@
 
     fn spread(&mut self, host: Arc<str>) {
         let members = u32::try_from(self.others.len()).unwrap_or(u32::MAX);
-        let rounds = (u32::BITS - members.leading_zeros() + 1).max(ROUNDS_LEAST);
+        let rounds = (u32::BITS - members.leading_zeros() + 1).max(MIN_GOSSIP_ROUNDS);
         self.updates
             .insert(host, self.settings.news_rounds * rounds);
     }
 
-    fn take_one(&mut self, host: &Arc<str>) -> Option<Record> {
-        self.count_sent(host);
+    fn record_to_send(&mut self, host: &Arc<str>) -> Option<Record> {
+        self.count_transmission(host);
         self.record(host).cloned()
     }
 
-    fn count_sent(&mut self, host: &Arc<str>) {
-        let Some(left) = self.updates.get_mut(host) else {
+    fn count_transmission(&mut self, host: &Arc<str>) {
+        let Some(remaining) = self.updates.get_mut(host) else {
             return;
         };
-        *left -= 1;
-        if *left == 0 {
+        *remaining -= 1;
+        if *remaining == 0 {
             self.updates.remove(host);
         }
     }
@@ -478,7 +491,7 @@
     }
 }
 
-fn rank(host: &str) -> u64 {
+fn hash_rank(host: &str) -> u64 {
     let mut hasher = SipHasher13::new();
     host.hash(&mut hasher);
     hasher.finish()
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Membership: news reach all, the dead are noticed, the woken speak again.
+//! Membership: updates reach all nodes, dead hosts are detected, and falsely suspected hosts are
+//! reinstated.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -43,8 +44,8 @@
     tables
 }
 
-/// One round: each node exchanges news with the next peer.
-fn round(tables: &mut [Table], now: Instant) {
+/// Runs one gossip round: each node exchanges updates with its next peer.
+fn gossip_round(tables: &mut [Table], now: Instant) {
     for index in 0..tables.len() {
         let Some(peer) = tables[index].next_peer() else {
             continue;
@@ -63,12 +64,12 @@
     }
 }
 
-/// What operators see: a change on one of many nodes is known everywhere after few
-/// rounds, at a bounded number of records an exchange.
+/// A change on one of many nodes must reach all nodes within a few rounds, with a bounded number of
+/// records per exchange.
 #[rstest]
 #[case::small(12, 8)]
 #[case::large(128, 14)]
-fn take_updates_reaches_all(#[case] size: u64, #[case] rounds_most: u32) {
+fn take_updates_reaches_all(#[case] size: u64, #[case] max_rounds: u32) {
     let mut tables = fleet(size);
     tables[0].set_upstream(Some(Upstream {
         service: Arc::from("service"),
@@ -81,17 +82,17 @@
         .iter()
         .any(|table| table.digest() != tables[0].digest())
     {
-        round(&mut tables, now);
+        gossip_round(&mut tables, now);
         rounds += 1;
         assert!(
-            rounds <= rounds_most,
-            "not everywhere after {rounds_most} rounds"
+            rounds <= max_rounds,
+            "not on all nodes after {max_rounds} rounds"
         );
     }
 }
 
 #[test]
-fn tick_turns_a_silent_host_into_a_dead_one_after_suspicion() {
+fn tick_marks_a_suspect_as_dead_after_the_suspicion_timeout() {
     let now = Instant::now();
     let mut table = table("a", 1);
     table.merge(now, record("b", 1));
@@ -99,17 +100,17 @@
     assert_eq!(
         table.present().count(),
         2,
-        "a suspicion alone removes nobody"
+        "a suspicion alone removes no host"
     );
     assert!(!table.tick(now + Duration::from_millis(2900)));
     assert!(table.tick(now + Duration::from_secs(3)));
     assert_eq!(table.present().count(), 1);
 }
 
-/// What the others see: a host that was declared dead while it was frozen speaks up
-/// with a version that outweighs its death.
+/// A host that was declared dead while its process was frozen must refute this with a version that
+/// supersedes the record of its death.
 #[test]
-fn merge_news_of_own_death_is_refuted() {
+fn merge_refutes_a_record_of_own_death() {
     let now = Instant::now();
     let mut other = table("a", 1);
     let mut frozen = table("b", 2);
@@ -125,17 +126,20 @@
     assert_eq!(other.present().count(), 2);
 }
 
-/// What the others see: a host replaced by an empty process whose clock is behind is
-/// known again as soon as it hears what is said of it.
+/// A host is replaced by a process without state whose clock is behind. Peers must accept its
+/// record as soon as it has received their record of its predecessor.
 #[test]
-fn merge_of_a_later_incarnation_is_overtaken() {
+fn merge_supersedes_a_later_incarnation_of_the_own_host() {
     let now = Instant::now();
     let mut other = table("a", 1);
     other.merge(now, record("b", 9_000));
     let mut replaced = Table::new(Settings::default(), record("b", 5), 2);
-    assert!(!other.merge(now, replaced.own().clone()), "it looks old");
-    for said in other.present().cloned().collect::<Vec<_>>() {
-        replaced.merge(now, said);
+    assert!(
+        !other.merge(now, replaced.own().clone()),
+        "its version looks outdated"
+    );
+    for record in other.present().cloned().collect::<Vec<_>>() {
+        replaced.merge(now, record);
     }
     assert!(other.merge(now, replaced.own().clone()));
 }
@@ -146,10 +150,10 @@
 #[case::worse_standing(Version { incarnation: 1, change: 5 }, Standing::Suspect, true)]
 #[case::newer_version(Version { incarnation: 1, change: 6 }, Standing::Alive, true)]
 #[case::newer_process(Version { incarnation: 2, change: 0 }, Standing::Alive, true)]
-fn merge_takes_only_news(
+fn merge_accepts_only_newer_records(
     #[case] version: Version,
     #[case] standing: Standing,
-    #[case] taken: bool,
+    #[case] expected: bool,
 ) {
     let now = Instant::now();
     let mut table = table("a", 1);
@@ -161,23 +165,23 @@
         ..record("b", 1)
     };
     table.merge(now, known.clone());
-    let said = Record {
+    let update = Record {
         version,
         standing,
         ..known
     };
-    assert_eq!(table.merge(now, said), taken);
+    assert_eq!(table.merge(now, update), expected);
 }
 
 #[test]
-fn is_holder_names_the_same_few_on_every_node() {
+fn is_holder_selects_the_same_nodes_on_every_node() {
     let tables = fleet(100);
     let holders = tables.iter().filter(|table| table.is_holder()).count();
     assert_eq!(holders, 2);
 }
 
 #[test]
-fn leave_is_not_undone_by_old_news() {
+fn leave_is_not_undone_by_an_older_record() {
     let now = Instant::now();
     let mut other = table("a", 1);
     let mut leaving = table("b", 2);
@@ -189,12 +193,12 @@
     assert_eq!(other.present().count(), 1);
 }
 
-/// A node is cut off for ten seconds: neither peers nor those it would ask about them answer. It
-/// takes them for dead, tells nobody so, and asks them again; the first answer brings each back,
-/// as does the word of another. If it told what it guessed, all hosts would be out of use
-/// everywhere until each had spoken up.
+/// A node is cut off for ten seconds: neither its peers nor the relays it asks about them answer.
+/// It must consider them dead without spreading this, and contact them again; the first answer of
+/// each marks it alive, as does a record received from another node. If the node spread its
+/// unconfirmed suspicions, no host would receive requests from any node until it had refuted them.
 #[test]
-fn unanswered_alone_is_told_to_nobody() {
+fn unanswered_without_confirmation_is_not_spread() {
     let mut now = Instant::now();
     let mut cut_off = table("a", 1);
     for host in ["b", "c", "d"] {
@@ -208,8 +212,8 @@
     cut_off.tick(now);
     assert!(!cut_off.knows_peers());
     assert_eq!(cut_off.take_updates(), []);
-    let asked = cut_off.next_peer().expect("those it knew");
-    cut_off.answered(&asked.host);
+    let contacted = cut_off.next_peer().expect("a formerly known peer");
+    cut_off.answered(&contacted.host);
     assert!(cut_off.knows_peers());
     for host in ["b", "c", "d"] {
         cut_off.merge(now, record(host, 1));
@@ -217,16 +221,16 @@
     assert_eq!(cut_off.present().count(), 4);
 }
 
-/// All power was lost: 300 nodes start together and know three named hosts, from which each takes
-/// what they know at that moment. With an exchange each 100 ms, and a whole table after three that
-/// differ, each knows nine in ten within a second; at the usual 500 ms some know 43 hosts by then, and
-/// the requests of all go to the few that are known.
+/// After a power loss, 300 nodes start together and know three named hosts, from which each gets
+/// the records these have at that moment. With an exchange every 100 ms, and a pull of the full
+/// table after three differing digests, each node must know nine in ten hosts within a second. At
+/// the usual 500 ms some nodes know only 43 hosts by then, and all requests go to those few.
 #[test]
-fn next_peer_brings_a_fleet_that_starts_together_into_one_table() {
+fn next_peer_lets_a_fleet_that_starts_together_converge() {
     const NODES: usize = 300;
-    const NAMED: usize = 3;
+    const NAMED_HOSTS: usize = 3;
     const PULL_AFTER: u32 = 3;
-    const ROUNDS_MOST: u32 = 6;
+    const MAX_ROUNDS: u32 = 6;
     let now = Instant::now();
     let mut tables: Vec<Table> = (0..NODES)
         .map(|n| table(&format!("host-{n}"), n as u64))
@@ -237,17 +241,17 @@
             tables[to].merge(now, record);
         }
     };
-    for node in 0..NAMED {
-        pull(&mut tables, node, (node + 1) % NAMED);
+    for node in 0..NAMED_HOSTS {
+        pull(&mut tables, node, (node + 1) % NAMED_HOSTS);
     }
-    for node in NAMED..NODES {
+    for node in NAMED_HOSTS..NODES {
         let own = tables[node].own().clone();
-        tables[node % NAMED].merge(now, own);
-        pull(&mut tables, node, node % NAMED);
+        tables[node % NAMED_HOSTS].merge(now, own);
+        pull(&mut tables, node, node % NAMED_HOSTS);
     }
     let mut differing = vec![0; NODES];
-    for _ in 0..ROUNDS_MOST {
-        round(&mut tables, now);
+    for _ in 0..MAX_ROUNDS {
+        gossip_round(&mut tables, now);
         for node in 0..NODES {
             let peer = tables[node].sample(1, "").remove(0);
             let peer = tables.iter().position(|t| t.own().host == peer.host);
@@ -261,16 +265,16 @@
             }
         }
     }
-    let least = tables.iter().map(|table| table.present().count()).min();
-    assert!(least >= Some(NODES * 9 / 10), "{least:?} of {NODES}");
+    let smallest = tables.iter().map(|table| table.present().count()).min();
+    assert!(smallest >= Some(NODES * 9 / 10), "{smallest:?} of {NODES}");
 }
 
-/// Guards against answers of an exchange that are filled with what the peer has just sent, so that
-/// some of the changes of a whole fleet never reach all.
+/// Guards against responses in an exchange that are filled with the records the peer has just sent:
+/// when the whole fleet changes, some changes would then never reach all nodes.
 #[test]
-fn take_updates_beside_brings_a_changed_fleet_into_one_table() {
+fn take_updates_beside_lets_a_changed_fleet_converge() {
     const NODES: u64 = 300;
-    const ROUNDS_MOST: u32 = 20;
+    const MAX_ROUNDS: u32 = 20;
     let mut tables = fleet(NODES);
     for table in &mut tables {
         table.set_upstream(Some(Upstream {
@@ -280,38 +284,38 @@
         }));
     }
     let now = Instant::now();
-    for _ in 0..ROUNDS_MOST {
-        round(&mut tables, now);
+    for _ in 0..MAX_ROUNDS {
+        gossip_round(&mut tables, now);
     }
     let agree = |table: &&Table| table.digest() == tables[0].digest();
     assert_eq!(tables.iter().filter(agree).count(), tables.len());
 }
 
-/// Guards against a few nodes that know all others staying unknown to them, who agree among
-/// themselves and so never ask for a whole table.
+/// Guards against a lasting one-sided split: a few nodes know all others but stay unknown to them,
+/// since the others agree among themselves and so never pull a full table.
 #[test]
-fn spread_own_ends_a_split_of_which_one_side_knows() {
+fn spread_own_ends_a_one_sided_split() {
     let now = Instant::now();
     let mut tables = fleet(34);
-    let mut unknown: Vec<Table> = (34..40).map(|n| table(&format!("host-{n}"), n)).collect();
+    let mut newcomers: Vec<Table> = (34..40).map(|n| table(&format!("host-{n}"), n)).collect();
     let known: Vec<Record> = tables.iter().map(|table| table.own().clone()).collect();
-    for newcomer in &mut unknown {
+    for newcomer in &mut newcomers {
         for record in &known {
             newcomer.merge(now, record.clone());
         }
         while !newcomer.take_updates().is_empty() {}
     }
-    tables.extend(unknown);
+    tables.extend(newcomers);
     for _ in 0..20 {
-        round(&mut tables, now);
+        gossip_round(&mut tables, now);
     }
-    assert_eq!(tables[0].present().count(), 34, "the split lasts");
+    assert_eq!(tables[0].present().count(), 34, "the split persists");
     for table in &mut tables[34..] {
         table.spread_own();
     }
     for _ in 0..20 {
-        round(&mut tables, now);
+        gossip_round(&mut tables, now);
     }
-    let least = tables.iter().map(|table| table.present().count()).min();
-    assert_eq!(least, Some(40));
+    let smallest = tables.iter().map(|table| table.present().count()).min();
+    assert_eq!(smallest, Some(40));
 }
