--- a/crates/core/src/bootstrap.rs
+++ b/crates/core/src/bootstrap.rs
@@ -1,12 +1,13 @@
-//! When a node that starts, or that hears nobody, turns to the store.
+//! Decides when a node that starts, or that has lost contact with all peers, uses the store.
 //!
 //! Load pattern: hundreds of nodes start within a third of a second, for the first time or after
-//! a loss of all power, and every day some are replaced one by one. If each asks the store for
-//! peers, routing table and preset, and takes itself for one of its regular users until it knows
-//! better, a start costs seven calls: some 2,000 for a fleet of 300 that starts once, ten times
-//! what its regular users ask in 40 seconds. So peers come first: the hosts named in the settings, and who is found
-//! through them brings the routing table along. Where none is named, a few nodes go ahead and the
-//! others find them by a read that may lag, which costs a tenth.
+//! a power loss of the whole fleet, and every day some are replaced one by one. If each node asks
+//! the store for peers, routing table and preset, and considers itself a designated reader of the
+//! store until it knows better, a start costs seven calls a node: some 2,000 for one start of a
+//! fleet of 300, ten times what its designated readers send in 40 seconds. Nodes therefore contact
+//! peers first: the hosts named in the settings, and the peers found through them also provide the
+//! routing table. Where no host is named, a few nodes go ahead and the others find them with a
+//! possibly stale read, which costs a tenth of a call.
 
 use std::hash::{Hash, Hasher};
 use std::time::{Duration, Instant};
@@ -15,56 +16,60 @@
 
 use crate::configs::bootstrap::Settings;
 
-/// How steeply the number of nodes that have looked rises over the spread: each eighth of it
-/// brings 2.7 times as many, so that of up to some thousand nodes one to a few are first.
+/// Growth rate of the number of nodes that have read the store over the start spread: it grows
+/// 2.7-fold with each eighth of the spread, so that of up to some thousand nodes one to a few are
+/// first.
 const STEEPNESS: f64 = 8.0;
-/// First pause between two looks into the store by a node that knows nobody.
-const PAUSE_LEAST: Duration = Duration::from_millis(150);
-/// Longest such pause: peers that come back are found through hosts that were known, too.
-const PAUSE_MOST: Duration = Duration::from_secs(4);
-/// Pause before the routing table is asked for again, where the store fails or holds none yet.
-const ROUTES_AGAIN: Duration = Duration::from_millis(500);
-
-/// Which hosts the settings name to join through.
+/// Initial delay between two discovery attempts through the store by a node without peers.
+const MIN_DISCOVERY_BACKOFF: Duration = Duration::from_millis(150);
+/// Maximum delay between two discovery attempts. It can be long because peers that return are also
+/// found through previously known hosts.
+const MAX_DISCOVERY_BACKOFF: Duration = Duration::from_secs(4);
+/// Delay before the routing table is read again if the store fails or does not contain one yet.
+const ROUTES_RETRY_DELAY: Duration = Duration::from_millis(500);
+
+/// Kind of hosts that the settings name for joining the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Named {
-    /// None, as when a fleet starts for the first time.
+    /// No host, as on the first start of a fleet.
     Nobody,
-    /// Others.
+    /// Only other hosts.
     Others,
-    /// This one is among them, so others wait for what it knows.
+    /// This host is one of them, so other nodes wait for the data that it provides.
     Own,
 }
 
-/// What a node knows at a moment.
+/// State of a node's knowledge at one point in time.
 #[derive(Clone, Copy, Debug)]
 pub struct Known {
-    /// When a peer was last heard.
+    /// When a peer was last in contact.
     pub heard_at: Option<Instant>,
-    /// Whether any other host is taken to be there.
+    /// Whether any other host is alive or suspected.
     pub peers: bool,
-    /// Whether it has the routing table, or needs none.
+    /// Whether the node has the routing table or does not need one.
     pub routes: bool,
-    /// Whether it is among the few of its zone that use the store for all others.
+    /// Whether the node is one of the designated readers of the store in its zone.
     pub holder: bool,
 }
 
-/// Why a node follows documents in the store itself, or that it learns of them from peers.
+/// Role of a node in reading documents: the reason why it follows them in the store, or that it
+/// receives them from peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// Peers bring what changes.
+    /// The node receives changes from peers.
     #[default]
     Member,
-    /// It is among the few of its zone that read the store for all others.
+    /// The node is one of the designated readers of its zone, which read the store for all others.
     Reader,
-    /// It has heard no peer for long and may be cut off from all of them.
+    /// The node has had no contact with any peer for the isolation timeout and may be cut off.
     Isolated,
-    /// The readers of its zone do not tell that the store answers them, and it answers this node.
+    /// The readers of the zone do not report that the store answers them, while it answers this
+    /// node.
     StandIn,
 }
 
 impl Role {
-    /// Its name in logs.
+    /// Returns the name used in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -76,31 +81,32 @@
     }
 }
 
-/// What to do after a look at the entries of others in the store.
+/// Next step after reading the entries of other nodes in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Join through those found.
+    /// Join through the nodes found.
     Join,
-    /// Look again, at all that was written.
+    /// Read again, with the latest writes included.
     LookAtLatest,
-    /// Write an entry, so that others find this node.
+    /// Write an entry, so that other nodes find this one.
     WriteEntry,
 }
 
-/// Decides when one node uses the store.
+/// Decides for one node when it uses the store.
 #[derive(Debug)]
 pub struct Bootstrap {
     settings: Settings,
     isolated_after: Duration,
     started_at: Instant,
-    look_at: Instant,
-    routes_at: Instant,
-    /// Looks made while nobody was known.
-    looks: u32,
+    discovery_at: Instant,
+    routes_read_at: Instant,
+    /// Number of discovery attempts so far.
+    discovery_attempts: u32,
 }
 
 impl Bootstrap {
-    /// A node that starts; `seed` tells nodes, and starts of one node, apart.
+    /// Creates the state of a node that starts; `seed` differs between nodes and between starts of
+    /// one node.
     #[must_use]
     pub fn new(
         settings: Settings,
@@ -109,28 +115,29 @@
         named: Named,
         seed: u64,
     ) -> Self {
-        let draw = draw(seed);
-        let named_until = now + settings.named_first.mul_f64(1.0 + draw);
-        let routes_until = now + settings.routes_first.mul_f64(1.0 + draw);
-        let (look_at, routes_at) = match named {
+        let fraction = unit_fraction(seed);
+        let named_deadline = now + settings.named_first.mul_f64(1.0 + fraction);
+        let routes_deadline = now + settings.routes_first.mul_f64(1.0 + fraction);
+        let (discovery_at, routes_read_at) = match named {
             Named::Nobody => {
-                let look_at = now + settings.start_spread.mul_f64(place(draw));
-                (look_at, look_at)
+                let discovery_at = now + settings.start_spread.mul_f64(start_offset(fraction));
+                (discovery_at, discovery_at)
             }
-            Named::Others => (named_until, routes_until),
-            Named::Own => (named_until, now),
+            Named::Others => (named_deadline, routes_deadline),
+            Named::Own => (named_deadline, now),
         };
         Self {
             settings,
             isolated_after,
             started_at: now,
-            look_at,
-            routes_at,
-            looks: 0,
+            discovery_at,
+            routes_read_at,
+            discovery_attempts: 0,
         }
     }
 
-    /// Whether the node follows documents in the store and keeps an entry there, and why.
+    /// Returns the node's role: whether and why it follows documents in the store and keeps an
+    /// entry there.
     #[must_use]
     pub fn role(&self, now: Instant, known: Known) -> Role {
         if known.holder && self.is_settled(now) {
@@ -148,45 +155,50 @@
         self.role(now, known) != Role::Member
     }
 
-    /// Whether the node has run long enough to know most others.
+    /// Whether the node has run long enough to know most other nodes.
     #[must_use]
     pub fn is_settled(&self, now: Instant) -> bool {
         now >= self.started_at + self.settings.settled_after
     }
 
-    /// Whether no peer has been heard for long.
+    /// Whether the node has had no contact with any peer for the isolation timeout.
     #[must_use]
     pub fn is_isolated(&self, now: Instant, known: Known) -> bool {
         let heard_at = known.heard_at.unwrap_or(self.started_at);
         now > heard_at + self.isolated_after
     }
 
-    /// Whether the node reads the routing table itself, since no peer has brought it.
+    /// Whether the node reads the routing table from the store, since no peer has provided it.
     #[must_use]
     pub fn reads_routes(&self, now: Instant, known: Known) -> bool {
-        !known.routes && now >= self.routes_at
+        !known.routes && now >= self.routes_read_at
     }
 
-    /// The routing table was not to be had; it is asked for again after a pause.
+    /// Schedules the next read of the routing table, in case the last one did not find it.
     pub fn found_no_routes(&mut self, now: Instant) {
-        self.routes_at = now + ROUTES_AGAIN;
+        self.routes_read_at = now + ROUTES_RETRY_DELAY;
     }
 
-    /// Whether the node looks for others in the store, since it knows nobody.
+    /// Whether the node looks for other nodes in the store, since it knows no peer.
     #[must_use]
     pub fn is_discovery_due(&self, now: Instant, known: Known) -> bool {
-        !known.peers && now >= self.look_at
+        !known.peers && now >= self.discovery_at
     }
 
-    /// The node has looked for others and still knows nobody.
+    /// Schedules the next discovery attempt with exponential backoff, in case the last one found no
+    /// peer.
     pub fn found_nobody(&mut self, now: Instant) {
-        let doubled = 2_u32.saturating_pow(self.looks);
-        self.look_at = now + PAUSE_LEAST.saturating_mul(doubled).min(PAUSE_MOST);
-        self.looks = self.looks.saturating_add(1);
+        let factor = 2_u32.saturating_pow(self.discovery_attempts);
+        self.discovery_at = now
+            + MIN_DISCOVERY_BACKOFF
+                .saturating_mul(factor)
+                .min(MAX_DISCOVERY_BACKOFF);
+        self.discovery_attempts = self.discovery_attempts.saturating_add(1);
     }
 }
 
-/// What follows a look that found `others` entries, at all that was written or not.
+/// Returns the step after a read that found `others` entries; `latest` is false if the read could
+/// be stale.
 #[must_use]
 pub const fn next_step(latest: bool, others: usize) -> Step {
     match (others, latest) {
@@ -196,7 +208,7 @@
     }
 }
 
-/// A number that tells hosts, and starts of one host, apart.
+/// Returns a seed that differs between hosts and between starts of one host.
 #[must_use]
 pub fn seed(host: &str, incarnation: u64) -> u64 {
     let mut hasher = SipHasher13::new();
@@ -204,16 +216,16 @@
     hasher.finish()
 }
 
-/// A number from 0 to 1.
-fn draw(seed: u64) -> f64 {
+/// Returns a pseudorandom number from 0 to 1.
+fn unit_fraction(seed: u64) -> f64 {
     let mut hasher = SipHasher13::new();
     seed.hash(&mut hasher);
     let high = u32::try_from(hasher.finish() >> 32).unwrap_or(0);
     f64::from(high) / f64::from(u32::MAX)
 }
 
-/// Place in the spread of a node that drew this number: few are early.
-fn place(draw: f64) -> f64 {
-    let least = (-STEEPNESS).exp();
-    1.0 + draw.max(least).ln() / STEEPNESS
+/// Maps a uniform number to a node's share of the start spread, so that few nodes are early.
+fn start_offset(fraction: f64) -> f64 {
+    let min_fraction = (-STEEPNESS).exp();
+    1.0 + fraction.max(min_fraction).ln() / STEEPNESS
 }
--- a/crates/core/src/configs/bootstrap.rs
+++ b/crates/core/src/configs/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Settings of the first seconds of a node.
+//! Settings for the first seconds after a node starts.
 
 use std::time::Duration;
 
@@ -8,21 +8,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Hosts named in the settings have this long to bring a node into the fleet before it looks
-    /// for others in the store, by a read that may lag: several trips, and little of the time for
-    /// which its callers would be refused.
+    /// Time to join the fleet through the hosts named in the settings before a node looks for
+    /// other nodes in the store with a possibly stale read. Long enough for several round trips,
+    /// and short compared with the time for which its callers would be rejected.
     #[serde(with = "humantime_serde")]
     pub named_first: Duration,
-    /// They have this long to bring the routing table: a few trips. Until it is known all callers
-    /// are refused, and after a loss of all power nobody has it.
+    /// Time to get the routing table from the named hosts before a node reads it from the store:
+    /// a few round trips. All callers are rejected until the node has the table, and after a
+    /// power loss of the whole fleet no peer has it.
     #[serde(with = "humantime_serde")]
     pub routes_first: Duration,
-    /// Nodes that start with no host named look into the store at different times within this
-    /// span, few of them early. A fleet that starts for the first time waits as long.
+    /// Nodes that start without named hosts read the store at different times within this span,
+    /// few of them early. The first start of a fleet takes this long.
     #[serde(with = "humantime_serde")]
     pub start_spread: Duration,
-    /// A node is none of the few regular users of the store before it has run for this long:
-    /// until then it does not know the others of its zone who come before it.
+    /// Time after its start before a node may act as a designated reader of the store. Until
+    /// then it does not know the other nodes of its zone that come before it.
     #[serde(with = "humantime_serde")]
     pub settled_after: Duration,
 }
--- a/crates/core/src/configs/failover.rs
+++ b/crates/core/src/configs/failover.rs
@@ -1,4 +1,4 @@
-//! Settings of the failover between readers of the store.
+//! Settings of the failover between store readers.
 
 use std::time::Duration;
 
@@ -8,17 +8,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// A reader makes sure that the store answers it, and tells its zone, this often.
+    /// Interval at which a reader checks that the store answers it and reports so to its zone.
     #[serde(with = "humantime_serde")]
     pub check_every: Duration,
-    /// Readers of which nothing was heard for this long are in doubt. Two checks fit in, and
-    /// with the successors' turns it stays below the time in which a change must be in force.
+    /// Readers are presumed to have failed when no report has arrived for this long. It covers
+    /// two checks, and together with the successors' turns it stays below the time within which
+    /// a change must be in force.
     #[serde(with = "humantime_serde")]
     pub doubted_after: Duration,
-    /// Each successor gives the one before it this long.
+    /// Time that each successor leaves the one before it to take over first.
     #[serde(with = "humantime_serde")]
     pub turn: Duration,
-    /// Nodes of a zone that may take the place of its readers.
+    /// Maximum number of nodes of a zone that may act in place of its readers.
     pub successors: usize,
 }
 
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -1,67 +1,72 @@
-//! Which nodes of an availability zone read the store when its regular readers do not.
+//! Selects the nodes of an availability zone that read the store while its designated readers
+//! cannot.
 //!
-//! Load pattern: the store turns away most nodes, or most nodes lose power, while operators change
-//! the configuration. The regular readers are chosen by membership, which says that a node lives
-//! and not that the store answers it, and it takes seconds to notice an end. So readers prove
-//! their use: each tells its zone whenever the store has answered it. Without such a report the
-//! other nodes take turns, a few of them, until one is answered, which then reports like a reader.
+//! Load pattern: the store does not answer most nodes, or most nodes lose power, while operators
+//! change the configuration. Membership designates the readers, but it only knows that
+//! a node is alive and not whether the store answers that node, and it takes seconds to detect a
+//! crash. Each reader therefore reports to its zone whenever the store has answered it. Without
+//! such a report the other nodes try in turn, a limited number of them, until the store answers
+//! one, which then reports like a reader.
 
 use std::time::Instant;
 
 use crate::configs::failover::Settings;
 
-/// Decides for one node whether it takes the place of its zone's readers.
+/// Decides for one node whether it acts in place of its zone's readers.
 #[derive(Debug)]
 pub struct Failover {
     settings: Settings,
-    /// The readers are in doubt from then on.
-    doubted_at: Instant,
-    stands_in: bool,
+    /// The readers are presumed to have failed unless a report extends this deadline.
+    report_deadline: Instant,
+    acts_as_reader: bool,
 }
 
 impl Failover {
-    /// A node that starts, and expects reports from `settled_at` on.
+    /// Creates the state of a node that starts and expects reports from `settled_at` on.
     #[must_use]
     pub fn new(settings: Settings, settled_at: Instant) -> Self {
-        let doubted_at = settled_at + settings.doubted_after;
+        let report_deadline = settled_at + settings.doubted_after;
         Self {
             settings,
-            doubted_at,
-            stands_in: false,
+            report_deadline,
+            acts_as_reader: false,
         }
     }
 
-    /// Another node of the zone reports that the store answered it at `answered_at`. `ahead` if
-    /// that node comes before this one in the order of the zone.
+    /// Records the report of another node of the zone that the store answered it at
+    /// `answered_at`. `ahead` is true if that node comes before this one in the order of the zone.
     ///
-    /// Failure: two nodes stand in and each yields to the other. Symptom: nobody reads until the
-    /// readers are in doubt again. One that stands in yields only to those ahead of it.
+    /// Failure: two nodes act as readers and each yields to the other. Symptom: no node reads the
+    /// store until the readers' reports are overdue again. This cannot happen because an acting
+    /// reader yields only to nodes ahead of it.
     pub fn reported(&mut self, answered_at: Instant, ahead: bool) {
-        if self.stands_in && !ahead {
+        if self.acts_as_reader && !ahead {
             return;
         }
-        let doubted_at = answered_at + self.settings.doubted_after;
-        self.doubted_at = self.doubted_at.max(doubted_at);
+        let report_deadline = answered_at + self.settings.doubted_after;
+        self.report_deadline = self.report_deadline.max(report_deadline);
     }
 
-    /// Whether the node stands in now; `place` is its place among the successors, 0 for a
-    /// regular reader.
-    pub fn stands_in(&mut self, now: Instant, place: usize) -> bool {
-        if self.stands_in {
-            self.stands_in = now >= self.doubted_at;
+    /// Updates and returns whether the node acts as a reader now; `position` is its position
+    /// among the successors, 0 for a designated reader.
+    pub fn stands_in(&mut self, now: Instant, position: usize) -> bool {
+        if self.acts_as_reader {
+            self.acts_as_reader = now >= self.report_deadline;
         } else {
-            self.stands_in = self.due_at(place).is_some_and(|due_at| now >= due_at);
+            self.acts_as_reader = self
+                .due_at(position)
+                .is_some_and(|takeover_at| now >= takeover_at);
         }
-        self.stands_in
+        self.acts_as_reader
     }
 
-    /// When the node's turn comes if no report arrives; `None` if it is no successor.
+    /// Returns when the node takes over if no report arrives; `None` if it is not a successor.
     #[must_use]
-    pub fn due_at(&self, place: usize) -> Option<Instant> {
-        if place > self.settings.successors {
+    pub fn due_at(&self, position: usize) -> Option<Instant> {
+        if position > self.settings.successors {
             return None;
         }
-        let turns = u32::try_from(place).unwrap_or(u32::MAX);
-        Some(self.doubted_at + self.settings.turn * turns)
+        let turns = u32::try_from(position).unwrap_or(u32::MAX);
+        Some(self.report_deadline + self.settings.turn * turns)
     }
 }
--- a/crates/core/tests/bootstrap.rs
+++ b/crates/core/tests/bootstrap.rs
@@ -1,4 +1,4 @@
-//! A fleet that starts, replayed against a store that counts its calls.
+//! Simulates the start of a fleet against a store that counts its calls.
 
 use std::time::{Duration, Instant};
 
@@ -8,11 +8,11 @@
 
 const ISOLATED_AFTER: Duration = Duration::from_secs(3);
 const TICK: Duration = Duration::from_millis(10);
-/// What a read that may lag shows is as old as this.
-const LAG: Duration = Duration::from_secs(1);
-/// A read that may lag costs the store a tenth of another call.
-const LAGGING_COST: f64 = 0.1;
-/// An entry takes a lease and a write.
+/// Age of the data returned by a possibly stale read.
+const STALENESS: Duration = Duration::from_secs(1);
+/// Cost of a possibly stale read relative to any other call.
+const STALE_READ_COST: f64 = 0.1;
+/// Cost of an entry: a lease and a write.
 const ENTRY_COST: f64 = 2.0;
 
 fn settings() -> Settings {
@@ -23,7 +23,7 @@
     }
 }
 
-const fn nothing() -> Known {
+const fn no_knowledge() -> Known {
     Known {
         heard_at: None,
         peers: false,
@@ -32,8 +32,9 @@
     }
 }
 
-/// Calls for each node of a fleet that starts with no host named, and when all knew the others.
-fn start_of(nodes: u64) -> (f64, Duration) {
+/// Starts a fleet without named hosts; returns the number of calls per node and the time until all
+/// nodes knew others.
+fn simulate_start(nodes: u64) -> (f64, Duration) {
     let start = Instant::now();
     let node = |seed| Bootstrap::new(settings(), ISOLATED_AFTER, start, Named::Nobody, seed);
     let mut waiting: Vec<Bootstrap> = (0..nodes).map(node).collect();
@@ -42,11 +43,11 @@
     let mut now = start;
     while !waiting.is_empty() {
         now += TICK;
-        let due = |node: &mut Bootstrap| node.is_discovery_due(now, nothing());
+        let due = |node: &mut Bootstrap| node.is_discovery_due(now, no_knowledge());
         for _ in waiting.extract_if(.., due) {
-            calls += LAGGING_COST;
-            let shown = written.iter().filter(|at| **at + LAG <= now).count();
-            if next_step(false, shown) == Step::Join {
+            calls += STALE_READ_COST;
+            let visible = written.iter().filter(|at| **at + STALENESS <= now).count();
+            if next_step(false, visible) == Step::Join {
                 continue;
             }
             calls += 1.0;
@@ -62,32 +63,34 @@
     )
 }
 
-/// A fleet starts for the first time. Each node that asked for all it needs made seven calls; a
-/// start costs less than half a call once the fleet is large, and all have looked in two seconds.
+/// First start of a fleet. If each node asked the store for everything it needs, it would make
+/// seven calls. A start must cost less than half a call per node in a large fleet, and all nodes
+/// must have read the store within two seconds.
 #[rstest]
 #[case::small(12, 2.0)]
 #[case::large(300, 0.5)]
 #[case::target(510, 0.5)]
-fn looks_spreads_a_first_start(#[case] nodes: u64, #[case] calls_most: f64) {
-    let (calls, took) = start_of(nodes);
-    assert!(calls < calls_most, "{calls} calls for each of {nodes}");
-    assert!(took <= settings().start_spread + TICK, "{took:?}");
+fn discovery_is_spread_over_a_first_start(#[case] nodes: u64, #[case] max_calls: f64) {
+    let (calls, duration) = simulate_start(nodes);
+    assert!(calls < max_calls, "{calls} calls for each of {nodes}");
+    assert!(duration <= settings().start_spread + TICK, "{duration:?}");
 }
 
-/// A node is replaced while the fleet runs. A named host brings the routing table within a few
-/// trips, and all peers a moment later, so the store is not asked, neither for peers and routes nor as a regular user, though
-/// it does not know yet who comes before it.
+/// A node is replaced while the fleet runs. A named host provides the routing table within a few
+/// round trips, and all peers shortly afterwards. The node must not call the store, neither for
+/// peers and routes nor as a designated reader, although it does not know yet which nodes come
+/// before it.
 #[test]
-fn looks_leaves_a_node_that_is_brought_in_alone() {
+fn store_is_not_used_by_a_node_that_joins_through_peers() {
     let start = Instant::now();
     let node = Bootstrap::new(settings(), ISOLATED_AFTER, start, Named::Others, 7);
     for millis in 0..2_000 {
         let now = start + Duration::from_millis(millis);
         let has_routes = millis >= 12;
-        let brought_in = millis >= 25;
+        let has_joined = millis >= 25;
         let known = Known {
-            heard_at: brought_in.then_some(now),
-            peers: brought_in,
+            heard_at: has_joined.then_some(now),
+            peers: has_joined,
             routes: has_routes,
             holder: true,
         };
@@ -96,42 +99,43 @@
     }
 }
 
-/// All power was lost, and the named hosts are gone or know nothing yet. Within 30 ms a node reads
-/// the routing table itself, and within 60 ms it looks for others: until then its callers are
-/// refused. At 250 to 500 ms for both, 32 requests of 28 nodes were refused as unconfigured where
-/// one was.
+/// After a power loss of the whole fleet, the named hosts are down or have no data yet. A node must
+/// read the routing table from the store within 30 ms and look for other nodes within 60 ms, since
+/// its callers are rejected until then. With 250 to 500 ms for both, 32 requests of 28 nodes were
+/// rejected as unconfigured, compared with one.
 #[test]
-fn looks_does_without_named_hosts_in_time() {
+fn store_is_read_in_time_without_named_hosts() {
     let start = Instant::now();
     for seed in 0..300 {
         let node = Bootstrap::new(settings(), ISOLATED_AFTER, start, Named::Others, seed);
-        let soon = start + Duration::from_millis(30);
-        assert!(node.reads_routes(soon, nothing()));
-        assert!(node.is_discovery_due(start + Duration::from_millis(60), nothing()));
+        let routes_due_at = start + Duration::from_millis(30);
+        assert!(node.reads_routes(routes_due_at, no_knowledge()));
+        assert!(node.is_discovery_due(start + Duration::from_millis(60), no_knowledge()));
     }
 }
 
-/// All power was lost. The hosts that others wait for read the routing table at once.
+/// After a power loss of the whole fleet, the named hosts must read the routing table immediately,
+/// since other nodes wait for it.
 #[test]
-fn reads_routes_at_once_where_others_wait_for_it() {
+fn reads_routes_immediately_on_a_named_host() {
     let start = Instant::now();
     let node = Bootstrap::new(settings(), ISOLATED_AFTER, start, Named::Own, 1);
-    assert!(node.reads_routes(start, nothing()));
+    assert!(node.reads_routes(start, no_knowledge()));
 }
 
-/// A node is cut off from its peers and not from the store for half a minute. It looks for others
-/// less and less often: a hundred such nodes made two hundred calls a second.
+/// A node is cut off from its peers but not from the store for half a minute. Its discovery
+/// attempts must back off: without backoff a hundred such nodes made two hundred calls a second.
 #[test]
-fn looks_rarely_while_cut_off() {
+fn discovery_backs_off_while_cut_off() {
     let start = Instant::now();
     let mut node = Bootstrap::new(settings(), ISOLATED_AFTER, start, Named::Others, 1);
-    let mut looks = 0;
+    let mut attempts = 0;
     for tick in 0..3_000 {
         let now = start + TICK * tick;
-        if node.is_discovery_due(now, nothing()) {
-            looks += 1;
+        if node.is_discovery_due(now, no_knowledge()) {
+            attempts += 1;
             node.found_nobody(now);
         }
     }
-    assert!((8..=12).contains(&looks), "{looks} looks");
+    assert!((8..=12).contains(&attempts), "{attempts} attempts");
 }
--- a/crates/core/tests/failover.rs
+++ b/crates/core/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Readers of one zone that fail, replayed with the datagrams between its nodes.
+//! Simulates the failure of one zone's readers, with the datagrams between its nodes.
 
 use std::time::{Duration, Instant};
 
@@ -8,64 +8,64 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 
-/// Time in which a node reads the store: a change is in force everywhere within two seconds, of
-/// which the read and its way to the other nodes take the rest.
-const READ_WITHIN: Duration = Duration::from_millis(1_800);
-/// Regular readers of a zone.
+/// Time within which some node must read the store: a change must be in force on all nodes within
+/// two seconds, and the rest is left for the read and its propagation to the other nodes.
+const READ_TIMEOUT: Duration = Duration::from_millis(1_800);
+/// Designated readers of a zone.
 const READERS: usize = 2;
 const STEP: Duration = Duration::from_millis(5);
-/// A call to the store that is not answered is given up after this long.
-const CALL_WITHIN: Duration = Duration::from_millis(500);
+/// Timeout of a call to the store.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What becomes of a node.
+/// Condition of a simulated node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
-    Served,
-    /// The store leaves its calls unanswered.
-    TurnedAway,
-    /// It has ended.
-    Ended,
+enum Condition {
+    Healthy,
+    /// The store does not answer the node's calls.
+    Unanswered,
+    /// The process has stopped.
+    Stopped,
 }
 
 struct Node {
     failover: Failover,
-    fate: Fate,
-    /// It does nothing until then.
+    condition: Condition,
+    /// The node takes no step before this time.
     busy_until: Instant,
     reads: bool,
 }
 
-/// A zone in which the order of the nodes is that of their numbers.
+/// A simulated zone; its nodes are ordered by index.
 struct Zone {
     nodes: Vec<Node>,
     now: Instant,
     rng: ChaCha8Rng,
-    /// Datagrams of a hundred that are lost.
-    lost_percent: u32,
+    /// Percentage of datagrams that are lost.
+    loss_percent: u32,
     checks: usize,
 }
 
 impl Zone {
-    fn new(size: usize, seed: u64, lost_percent: u32) -> Self {
+    fn new(size: usize, seed: u64, loss_percent: u32) -> Self {
         let now = Instant::now();
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let every = Settings::default().check_every;
+        let check_interval = Settings::default().check_every;
         let nodes = (0..size).map(|_| Node {
             failover: Failover::new(Settings::default(), now),
-            fate: Fate::Served,
-            busy_until: now + every.mul_f64(rng.random()),
+            condition: Condition::Healthy,
+            busy_until: now + check_interval.mul_f64(rng.random()),
             reads: false,
         });
         Self {
             nodes: nodes.collect(),
             now,
             rng,
-            lost_percent,
+            loss_percent,
             checks: 0,
         }
     }
 
-    /// Lets the time pass; true as soon as `until` holds.
+    /// Runs the simulation for `time`; returns true as soon as `until` holds.
     fn run(&mut self, time: Duration, until: impl Fn(&[Node]) -> bool) -> bool {
         let end = self.now + time;
         while self.now < end {
@@ -83,18 +83,18 @@
     fn step(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
-        if node.fate == Fate::Ended || now < node.busy_until {
+        if node.condition == Condition::Stopped || now < node.busy_until {
             return;
         }
-        let place = (index + 1).saturating_sub(READERS);
-        let reads = place == 0 || node.failover.stands_in(now, place);
-        node.reads = reads && node.fate == Fate::Served;
+        let position = (index + 1).saturating_sub(READERS);
+        let reads = position == 0 || node.failover.stands_in(now, position);
+        node.reads = reads && node.condition == Condition::Healthy;
         if !reads {
             return;
         }
         self.checks += 1;
-        if node.fate == Fate::TurnedAway {
-            node.busy_until = now + CALL_WITHIN;
+        if node.condition == Condition::Unanswered {
+            node.busy_until = now + CALL_TIMEOUT;
             return;
         }
         node.busy_until = now + Settings::default().check_every;
@@ -103,8 +103,8 @@
 
     fn report(&mut self, from: usize) {
         for (to, node) in self.nodes.iter_mut().enumerate() {
-            let is_lost = self.rng.random_ratio(self.lost_percent, 100);
-            if to != from && node.fate != Fate::Ended && !is_lost {
+            let is_lost = self.rng.random_ratio(self.loss_percent, 100);
+            if to != from && node.condition != Condition::Stopped && !is_lost {
                 node.failover.reported(self.now, from < to);
             }
         }
@@ -112,7 +112,7 @@
 
     fn readers(&self) -> Vec<usize> {
         let nodes = self.nodes.iter().enumerate();
-        let readers = nodes.filter(|(_, node)| node.reads && node.fate == Fate::Served);
+        let readers = nodes.filter(|(_, node)| node.reads && node.condition == Condition::Healthy);
         readers.map(|(index, _)| index).collect()
     }
 }
@@ -120,69 +120,75 @@
 fn someone_reads(nodes: &[Node]) -> bool {
     nodes
         .iter()
-        .any(|node| node.reads && node.fate == Fate::Served)
+        .any(|node| node.reads && node.condition == Condition::Healthy)
 }
 
-/// Readers chosen by membership alone read again when the store does, or seconds after an end.
+/// Guards against readers that are selected by membership alone: they would resume only when the
+/// store answers them again, or seconds after a crash.
 #[rstest]
-#[case::one_successor_is_served(4, 3, Fate::TurnedAway)]
-#[case::last_of_the_successors_is_served(17, 9, Fate::TurnedAway)]
-#[case::all_before_have_ended(17, 9, Fate::Ended)]
-#[case::large_zone(73, 8, Fate::TurnedAway)]
-fn stands_in_while_a_change_can_still_be_in_force(
+#[case::one_successor_is_healthy(4, 3, Condition::Unanswered)]
+#[case::last_successor_is_healthy(17, 9, Condition::Unanswered)]
+#[case::all_before_have_stopped(17, 9, Condition::Stopped)]
+#[case::large_zone(73, 8, Condition::Unanswered)]
+fn stands_in_soon_enough_for_a_change_to_be_in_force(
     #[case] size: usize,
-    #[case] served: usize,
-    #[case] fate: Fate,
+    #[case] failed: usize,
+    #[case] condition: Condition,
 ) {
     for seed in 0..50 {
         let mut zone = Zone::new(size, seed, 2);
         zone.run(Duration::from_millis(3_000 + seed * 13), |_| false);
-        for node in &mut zone.nodes[..served] {
-            node.fate = fate;
+        for node in &mut zone.nodes[..failed] {
+            node.condition = condition;
         }
-        let read = zone.run(READ_WITHIN, someone_reads);
+        let read = zone.run(READ_TIMEOUT, someone_reads);
         assert!(read, "seed {seed}");
     }
 }
 
-/// Guards against nodes that turn to the store while its readers do their duty.
+/// Guards against other nodes that call the store while the readers report.
 #[test]
-fn stands_in_leaves_readers_alone_that_report() {
+fn stands_in_is_false_while_readers_report() {
     for seed in 0..20 {
         let mut zone = Zone::new(17, seed, 2);
         zone.run(Duration::from_secs(2), |_| false);
-        let more = |nodes: &[Node]| nodes[READERS..].iter().any(|node| node.reads);
-        assert!(!zone.run(Duration::from_mins(1), more), "seed {seed}");
+        let successor_reads = |nodes: &[Node]| nodes[READERS..].iter().any(|node| node.reads);
+        assert!(
+            !zone.run(Duration::from_mins(1), successor_reads),
+            "seed {seed}"
+        );
     }
 }
 
-/// Guards against a whole zone that asks a store which is out.
+/// Guards against a whole zone that calls an unavailable store.
 #[test]
-fn stands_in_asks_a_store_that_is_out_from_few_nodes() {
+fn stands_in_limits_the_nodes_that_call_an_unavailable_store() {
     let settings = Settings::default();
     let mut zone = Zone::new(73, 1, 2);
     zone.run(Duration::from_secs(3), |_| false);
     for node in &mut zone.nodes {
-        node.fate = Fate::TurnedAway;
+        node.condition = Condition::Unanswered;
     }
     zone.checks = 0;
     zone.run(Duration::from_secs(5), |_| false);
-    // Readers ask for five seconds, and successors once the readers have been in doubt for one.
-    let checks_most = READERS * 11 + settings.successors * 9;
-    assert!(zone.checks <= checks_most, "{} checks", zone.checks);
+    // Readers call the store for five seconds, and successors once reports are overdue after one
+    // second.
+    let max_checks = READERS * 11 + settings.successors * 9;
+    assert!(zone.checks <= max_checks, "{} checks", zone.checks);
 }
 
-/// Guards against several nodes that stand in for ever, and two that yield to each other.
+/// Guards against several nodes that act as readers indefinitely, and against two that yield to
+/// each other.
 #[test]
-fn stands_in_comes_down_to_one_and_ends_with_the_readers_return() {
+fn stands_in_converges_to_one_node_and_ends_when_a_reader_recovers() {
     let mut zone = Zone::new(17, 3, 2);
     zone.run(Duration::from_secs(3), |_| false);
-    zone.nodes[0].fate = Fate::TurnedAway;
-    zone.nodes[1].fate = Fate::TurnedAway;
+    zone.nodes[0].condition = Condition::Unanswered;
+    zone.nodes[1].condition = Condition::Unanswered;
     zone.run(Duration::from_secs(4), |_| false);
     assert_eq!(zone.readers(), [2]);
     assert!(!zone.run(Duration::from_secs(10), |nodes| !someone_reads(nodes)));
-    zone.nodes[0].fate = Fate::Served;
+    zone.nodes[0].condition = Condition::Healthy;
     zone.run(Duration::from_secs(2), |_| false);
     assert_eq!(zone.readers(), [0]);
 }
