--- a/crates/core/src/audience.rs
+++ b/crates/core/src/audience.rs
@@ -1,66 +1,70 @@
-//! Which nodes are told of an upstream's load between two answers.
+//! Selects the nodes that receive an upstream's load reports between two responses.
 //!
-//! Load pattern: a host turns slow within milliseconds and stays so for some hundred, while
-//! each entry node hears of it only with its own next answer from there, a third of a second
-//! later. Nodes that send again and again are told of each change at once. In a fleet of
-//! hundreds a node meets the same host every ten seconds or more: what it is told meanwhile is
-//! out of date long before it chooses again, so a node is told only once it has come back soon.
-//! The messages then follow the traffic between two nodes and not the size of the fleet.
+//! Load pattern: a host becomes slow within milliseconds and stays slow for several hundred
+//! milliseconds, while each entry node learns of it only from its own next response from that
+//! host, a third of a second later. Nodes that send requests frequently are therefore notified of
+//! each change immediately. In a fleet of hundreds, a node sends to the same host only every ten
+//! seconds or more: a report received in between is out of date long before the node's next
+//! choice, so a node is notified only if its last two requests were close together. The number of
+//! messages then depends on the traffic between two nodes and not on the size of the fleet.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long after its last request a node is told: several times the gap between two
+/// How long after its last request a node receives reports: several times the gap between two
 /// requests of one node to one upstream in steady traffic.
-const TOLD_FOR: Duration = Duration::from_secs(2);
-/// Nodes told at most; in a large fleet each upstream hears from more nodes than it is worth
-/// telling, and the latest are the likeliest to send again.
-const MOST: usize = 24;
-/// Nodes remembered at most, told or not.
-const REMEMBERED_MOST: usize = 256;
+const SENDER_TTL: Duration = Duration::from_secs(2);
+/// Maximum number of nodes notified. In a large fleet more nodes send requests to each upstream
+/// than are worth notifying, and the most recent senders are the likeliest to send again.
+const MAX_RECIPIENTS: usize = 24;
+/// Maximum number of senders recorded, notified or not.
+const MAX_SENDERS: usize = 256;
 
-/// Nodes that sent requests lately.
+/// Nodes that sent requests recently.
 #[derive(Debug, Default)]
 pub struct Audience {
     nodes: HashMap<SocketAddr, Sender>,
 }
 
-/// One of them.
 #[derive(Clone, Copy, Debug)]
 struct Sender {
-    /// It is forgotten then, unless it sends again.
-    until: Instant,
-    /// Whether it came back before it was forgotten.
-    came_back: bool,
+    /// When the sender is removed, unless it sends another request.
+    expires_at: Instant,
+    /// Whether the sender sent another request before it expired.
+    is_recurring: bool,
 }
 
 impl Audience {
-    /// A node sent a request.
+    /// Records a request from `node`.
     pub fn sent(&mut self, now: Instant, node: SocketAddr) {
         let before = self.nodes.get(&node);
-        let came_back = before.is_some_and(|sender| now < sender.until);
+        let is_recurring = before.is_some_and(|sender| now < sender.expires_at);
         let sender = Sender {
-            until: now + TOLD_FOR,
-            came_back,
+            expires_at: now + SENDER_TTL,
+            is_recurring,
         };
         self.nodes.insert(node, sender);
-        if self.nodes.len() > REMEMBERED_MOST {
-            let oldest = self.nodes.iter().min_by_key(|(_, sender)| sender.until);
+        if self.nodes.len() > MAX_SENDERS {
+            let oldest = self
+                .nodes
+                .iter()
+                .min_by_key(|(_, sender)| sender.expires_at);
             if let Some(node) = oldest.map(|(node, _)| *node) {
                 self.nodes.remove(&node);
             }
         }
     }
 
-    /// The nodes to tell: of those that came back, the latest.
+    /// Returns the nodes to notify: the most recent of the recurring senders.
     pub fn current(&mut self, now: Instant) -> Vec<SocketAddr> {
-        self.nodes.retain(|_, sender| now < sender.until);
-        let told = self.nodes.iter().filter(|(_, sender)| sender.came_back);
-        let mut told: Vec<(Instant, SocketAddr)> =
-            told.map(|(node, sender)| (sender.until, *node)).collect();
-        told.sort_unstable_by(|a, b| b.cmp(a));
-        told.truncate(MOST);
-        told.into_iter().map(|(_, node)| node).collect()
+        self.nodes.retain(|_, sender| now < sender.expires_at);
+        let recipients = self.nodes.iter().filter(|(_, sender)| sender.is_recurring);
+        let mut recipients: Vec<(Instant, SocketAddr)> = recipients
+            .map(|(node, sender)| (sender.expires_at, *node))
+            .collect();
+        recipients.sort_unstable_by(|a, b| b.cmp(a));
+        recipients.truncate(MAX_RECIPIENTS);
+        recipients.into_iter().map(|(_, node)| node).collect()
     }
 }
--- a/crates/core/src/stagger.rs
+++ b/crates/core/src/stagger.rs
@@ -1,9 +1,10 @@
-//! Waits that differ from node to node and from time to time.
+//! Staggered delays that differ between nodes and between attempts.
 //!
-//! Load pattern: nodes that start together, or that lose the store together, would ask it
-//! again together for ever. Here each waits a share of the full wait that follows a
-//! low-discrepancy sequence from a start of its own, so that whatever the moment, some node's
-//! wait ends soon: with six nodes and a wait of six seconds mostly within two.
+//! Load pattern: nodes that start together, or that lose the store together, would keep calling
+//! it at the same moments indefinitely. Each node instead waits a share of the full delay. The
+//! share follows a low-discrepancy sequence that starts at a different position on each node, so
+//! that at any moment the delay of some node ends soon: with six nodes and a delay of six seconds
+//! usually within two seconds.
 
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
@@ -12,17 +13,17 @@
 
 /// Step of the sequence: the fractional part of the golden ratio.
 const GOLDEN_STEP: f64 = 0.618_033_988_749_894_9;
-/// Least share of the full wait.
-const SHARE_LEAST: f64 = 0.5;
+/// Minimum share of the full delay.
+const MIN_SHARE: f64 = 0.5;
 
-/// The waits of one node.
+/// Sequence of delays of one node.
 #[derive(Clone, Copy, Debug)]
 pub struct Stagger {
     position: f64,
 }
 
 impl Stagger {
-    /// Waits of the node on this host.
+    /// Creates the sequence of the node on `host`.
     #[must_use]
     pub fn new(host: &str) -> Self {
         let mut hasher = SipHasher13::new();
@@ -33,9 +34,9 @@
         }
     }
 
-    /// The next wait: between half and all of `full`.
+    /// Returns the next delay, between half of `full` and `full`.
     pub fn next(&mut self, full: Duration) -> Duration {
         self.position = (self.position + GOLDEN_STEP).fract();
-        full.mul_f64(SHARE_LEAST + (1.0 - SHARE_LEAST) * self.position)
+        full.mul_f64(MIN_SHARE + (1.0 - MIN_SHARE) * self.position)
     }
 }
