--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -1,18 +1,18 @@
-//! Claims on idempotency keys: at most one run per key, decided by the store.
+//! Claims on idempotency keys: the store grants each key to at most one request.
 //!
-//! Before an unrepeatable request with a key is handed over, its key is created in the
-//! store by compare-and-swap. The store alone is the truth, so it does not matter
-//! which nodes died, froze or were replaced in between. Keys that wait together go
-//! into one write, so that the number of writes follows the write budget and not the
-//! number of requests.
+//! Before a non-idempotent request with a key is sent to the upstream, its key is created in the
+//! store by compare-and-swap. The store alone decides, so it does not matter which nodes crashed,
+//! were paused or were replaced in between. Keys that wait at the same time are created in one
+//! write, so the number of writes is bounded by the write budget and not by the number of requests.
 //!
-//! A claim holds the mark of the request as its entry node numbered it. The entry node
-//! sends an unrepeatable request to a second host only after the first certainly
-//! refused it, so a second host that finds the same mark may go on.
+//! A claim stores the mark that the entry node gave its request. The entry node sends a
+//! non-idempotent request to a second host only after the first has certainly refused it, so a
+//! second host that finds the same mark in the store may proceed.
 //!
-//! A store that comes back from an older copy has lost its newest claims. The node that was granted
-//! one remembers it for as long as a copy may be old and writes it again, and until all nodes have had
-//! time for that nobody is granted anything: a key that looks free may be one that was lost.
+//! A store that is restored from an older copy has lost its newest claims. The node that was
+//! granted a claim remembers it for as long as a copy may be old and writes it again. Until all
+//! nodes have had time to do so nothing is granted, because a key that looks free may be one whose
+//! claim was lost.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -24,112 +24,114 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(pub Arc<str>);
 
-/// Who made a claim: entry host, its incarnation, and its number of the request.
+/// Identifies the claiming request: entry host, its incarnation, and its number of the request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Mark(pub Arc<str>);
 
-/// One claim that is asked for.
+/// A claim of one key for one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
-    /// What is claimed.
+    /// The key that is claimed.
     pub key: Key,
-    /// For which request.
+    /// The request that claims it.
     pub mark: Mark,
 }
 
-/// Answer to a claim.
+/// Result of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The key is this request's; it may be handed over.
+    /// This request holds the key and may be sent to the upstream.
     Granted,
-    /// Another request holds the key; it may have run.
+    /// Another request holds the key; that request may have run.
     Duplicate,
-    /// The store did not confirm; this request must not be handed over.
+    /// The store did not confirm the claim; this request must not be sent to the upstream.
     Unavailable,
-    /// The store lost its newest claims, and this key's may be one of them; an earlier request with
-    /// it may have run.
+    /// The store lost its newest claims, and the claim of this key may be one of them; an earlier
+    /// request with the key may have run.
     Doubtful,
 }
 
-/// Number by which the asker knows its claim.
+/// Number by which the caller of [`Claims::ask`] matches the answer to its claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Ticket(pub u64);
 
-/// What to do next.
+/// Next step that [`Claims::poll`] asks of its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Create all these keys in one write, or none; on conflict tell who holds them.
+    /// Create all of these keys in one write, or none; on conflict, return their holders.
     Write(Vec<Claim>),
-    /// A reply was lost: read who holds these keys.
+    /// The reply to a write was lost: read who holds these keys.
     Read(Vec<Claim>),
-    /// Delete this key if its mark still stands.
+    /// Delete this key if the store still holds this mark for it.
     Release(Claim),
-    /// Ask the store for anything, so that its return from a copy is noticed.
+    /// Send any read to the store, so that its restore from an older copy is detected.
     Check,
-    /// Tell the asker.
+    /// Return the verdict to the caller that asked with this ticket.
     Answer(Ticket, Verdict),
 }
 
-/// How a write ended.
+/// Result of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Written {
     /// All keys were created.
     Applied,
-    /// None was; holders of the keys in the order asked.
+    /// No key was created; the holders of the keys, in the order of the write.
     Conflict(Vec<Option<Mark>>),
-    /// It certainly did not take effect.
+    /// The write certainly had no effect.
     NotApplied,
-    /// The reply was lost; it may have taken effect, or may yet.
+    /// The reply was lost; the write may have taken effect, or may still do so.
     Lost,
 }
 
-/// Claims of one node on their way to the store; one call is open at a time.
+/// Claims of one node that wait for the store; at most one store call is in flight at a time.
 #[derive(Debug)]
 pub struct Claims {
     settings: Settings,
     tokens: f64,
     refilled_at: Instant,
-    waiting: VecDeque<Asked>,
+    waiting: VecDeque<Waiter>,
     releases: VecDeque<Claim>,
     call: Call,
-    answers: VecDeque<(Asked, Verdict)>,
-    /// Granted here lately, the oldest first.
-    kept: VecDeque<Kept>,
-    /// While the store's newest claims may be missing in it.
+    answers: VecDeque<(Waiter, Verdict)>,
+    /// Claims granted to this node within the maximum age of a copy, oldest first.
+    grants: VecDeque<Grant>,
+    /// Until then the store may lack its newest claims, and nothing is granted.
     doubtful_until: Option<Instant>,
     check_at: Instant,
 }
 
-/// A claim that was granted here.
+/// A claim that was granted to this node.
 #[derive(Clone, Debug)]
-struct Kept {
+struct Grant {
     claim: Claim,
-    until: Instant,
-    /// Whether the store holds it, since it last came back.
-    written: bool,
+    expires_at: Instant,
+    /// Whether the store is known to hold the claim since its last restore from a copy.
+    is_stored: bool,
 }
 
+/// A request that waits for the verdict on its claim.
 #[derive(Clone, Debug)]
-struct Asked {
+struct Waiter {
     ticket: Ticket,
     claim: Claim,
     deadline: Instant,
 }
 
+/// The store call in flight.
 #[derive(Debug)]
 enum Call {
     Idle,
-    Writing(Vec<Asked>),
-    ReadDue(Vec<Asked>),
-    Reading(Vec<Asked>),
-    /// Claims remembered here are written again.
+    Writing(Vec<Waiter>),
+    ReadDue(Vec<Waiter>),
+    Reading(Vec<Waiter>),
+    /// Granted claims are written again after a restore of the store.
     Rewriting(Vec<Claim>),
     Releasing,
     Checking,
 }
 
 impl Claims {
-    /// Nothing asked yet.
+    /// Creates an empty set of claims with a full write budget.
     #[must_use]
     pub const fn new(settings: Settings, now: Instant) -> Self {
         Self {
@@ -140,141 +142,144 @@
             releases: VecDeque::new(),
             call: Call::Idle,
             answers: VecDeque::new(),
-            kept: VecDeque::new(),
+            grants: VecDeque::new(),
             doubtful_until: None,
             check_at: now,
         }
     }
 
-    /// Asks for a claim; the answer comes by [`Action::Answer`].
+    /// Requests a claim; the verdict is returned through [`Action::Answer`].
     pub fn ask(&mut self, ticket: Ticket, claim: Claim, deadline: Instant) {
-        let asked = Asked {
+        let waiter = Waiter {
             ticket,
             claim,
             deadline,
         };
         if self.waiting.len() >= self.settings.pending_most {
-            self.answers.push_back((asked, Verdict::Unavailable));
-        } else if self.holds_other(&asked.claim) {
-            self.answers.push_back((asked, Verdict::Duplicate));
+            self.answers.push_back((waiter, Verdict::Unavailable));
+        } else if self.is_claim_pending(&waiter.claim) {
+            self.answers.push_back((waiter, Verdict::Duplicate));
         } else {
-            self.waiting.push_back(asked);
+            self.waiting.push_back(waiter);
         }
     }
 
-    /// The store has come back from an older copy.
+    /// Handles a restore of the store from an older copy.
     ///
     /// Failure: the store loses a claim whose request ran. Symptom: the key looks free, and a
-    /// repeat runs it again. What was granted here within the age of a copy is written again, and
-    /// nothing is granted until every node has had time to notice and do the same.
+    /// retry of the request runs a second time. Claims granted to this node within the maximum age
+    /// of a copy are written again, and nothing is granted until every node has had time to detect
+    /// the restore and do the same.
     pub fn store_returned(&mut self, now: Instant) {
         self.doubtful_until = Some(now + self.settings.doubtful_for);
-        self.forget(now);
-        for kept in &mut self.kept {
-            kept.written = false;
+        self.expire_grants(now);
+        for grant in &mut self.grants {
+            grant.is_stored = false;
         }
-        // Whether a write on its way is in the newer state nobody knows.
+        // A write in flight may or may not be part of the restored state, so it confirms nothing.
         if let Call::Rewriting(claims) = &mut self.call {
             claims.clear();
         }
     }
 
-    /// Gives a key back: its request was certainly refused everywhere.
+    /// Releases a key whose request was certainly refused everywhere.
     ///
-    /// Best effort: a key that stays claimed is answered as unknown, never run twice.
+    /// This is best effort: a repeat of a request whose key stays claimed is answered with an
+    /// unknown outcome and never runs twice.
     pub fn release(&mut self, claim: Claim) {
-        self.kept.retain(|kept| kept.claim != claim);
+        self.grants.retain(|grant| grant.claim != claim);
         if self.releases.len() < self.settings.pending_most {
             self.releases.push_back(claim);
         }
     }
 
-    /// What to do next; call until `None` after each event and at [`Self::wake_at`].
+    /// Returns the next action; call until `None` after each event and at [`Self::wake_at`].
     pub fn poll(&mut self, now: Instant) -> Option<Action> {
         self.refill(now);
-        self.forget(now);
-        self.give_up_late(now);
-        self.refuse_in_doubt(now);
-        if let Some((asked, verdict)) = self.answers.pop_front() {
-            let verdict = self.judge(now, asked.claim, verdict);
-            return Some(Action::Answer(asked.ticket, verdict));
+        self.expire_grants(now);
+        self.expire_waiters(now);
+        self.reject_while_doubtful(now);
+        if let Some((waiter, verdict)) = self.answers.pop_front() {
+            let verdict = self.confirm_verdict(now, waiter.claim, verdict);
+            return Some(Action::Answer(waiter.ticket, verdict));
         }
         match std::mem::replace(&mut self.call, Call::Idle) {
             Call::Idle => self.next_call(now),
-            Call::ReadDue(asked) => {
-                let claims = claims_of(&asked);
-                self.call = Call::Reading(asked);
+            Call::ReadDue(waiters) => {
+                let claims = claims_of(&waiters);
+                self.call = Call::Reading(waiters);
                 Some(Action::Read(claims))
             }
-            open => {
-                self.call = open;
+            in_flight => {
+                self.call = in_flight;
                 None
             }
         }
     }
 
-    /// When to poll although nothing happened.
+    /// When to call [`Self::poll`] even if no event occurs.
     #[must_use]
     pub fn wake_at(&self) -> Option<Instant> {
-        let deadline = self.waiting.iter().map(|asked| asked.deadline).min();
-        let to_rewrite = self.kept.iter().any(|kept| !kept.written);
+        let deadline = self.waiting.iter().map(|waiter| waiter.deadline).min();
+        let to_rewrite = self.grants.iter().any(|grant| !grant.is_stored);
         let wants_write = to_rewrite || !self.waiting.is_empty() || !self.releases.is_empty();
         let affordable = (matches!(self.call, Call::Idle) && wants_write).then(|| {
             let missing = (1.0 - self.tokens).max(0.0);
             let seconds = missing / self.settings.writes_per_second;
             self.refilled_at + std::time::Duration::from_secs_f64(seconds)
         });
-        let check = (!self.kept.is_empty()).then_some(self.check_at);
+        let check = (!self.grants.is_empty()).then_some(self.check_at);
         [deadline, affordable, check].into_iter().flatten().min()
     }
 
-    /// The open write ended.
+    /// Records the result of the write in flight.
     pub fn written(&mut self, written: Written) {
-        let asked = match std::mem::replace(&mut self.call, Call::Idle) {
-            Call::Writing(asked) => asked,
-            Call::Rewriting(claims) => return self.rewritten(&claims, &written),
+        let waiters = match std::mem::replace(&mut self.call, Call::Idle) {
+            Call::Writing(waiters) => waiters,
+            Call::Rewriting(claims) => return self.rewrite_finished(&claims, &written),
             _ => return,
         };
         match written {
-            Written::Applied => self.answer_all(asked, Verdict::Granted),
-            Written::NotApplied => self.answer_all(asked, Verdict::Unavailable),
-            Written::Conflict(holders) => self.settle_conflict(asked, &holders),
-            Written::Lost => self.call = Call::ReadDue(asked),
+            Written::Applied => self.answer_all(waiters, Verdict::Granted),
+            Written::NotApplied => self.answer_all(waiters, Verdict::Unavailable),
+            Written::Conflict(holders) => self.resolve_conflict(waiters, &holders),
+            Written::Lost => self.call = Call::ReadDue(waiters),
         }
     }
 
-    /// The open read ended: holders in the order asked, or `None` if it failed.
+    /// Records the result of the read in flight: the holders in the order of the read, or `None` if
+    /// it failed.
     ///
-    /// Failure: a write takes effect and its reply is lost. Symptom: the key is held
-    /// and nobody knows by whom. The mark read back tells. A key found free may still
-    /// be taken by the lost write, so its request is refused as not run, and the late
-    /// claim is given back.
+    /// Failure: a write takes effect and its reply is lost. Symptom: the key is held, and this node
+    /// does not know by which request. The mark that is read back identifies the holder. A key that
+    /// is read as free may still be claimed by the lost write, so its request is refused as not
+    /// run, and the key is released.
     pub fn read(&mut self, holders: Option<&[Option<Mark>]>) {
-        let Call::Reading(asked) = std::mem::replace(&mut self.call, Call::Idle) else {
+        let Call::Reading(waiters) = std::mem::replace(&mut self.call, Call::Idle) else {
             return;
         };
-        for (index, asked) in asked.into_iter().enumerate() {
+        for (index, waiter) in waiters.into_iter().enumerate() {
             let holder = holders.and_then(|holders| holders.get(index));
             let verdict = match holder {
-                Some(Some(mark)) if *mark == asked.claim.mark => Verdict::Granted,
+                Some(Some(mark)) if *mark == waiter.claim.mark => Verdict::Granted,
                 Some(Some(_)) => Verdict::Duplicate,
                 Some(None) | None => {
-                    self.release(asked.claim.clone());
+                    self.release(waiter.claim.clone());
                     Verdict::Unavailable
                 }
             };
-            self.answers.push_back((asked, verdict));
+            self.answers.push_back((waiter, verdict));
         }
     }
 
-    /// The open check ended, well or not.
+    /// Records the end of the check in flight, whether it succeeded or failed.
     pub fn checked(&mut self) {
         if matches!(self.call, Call::Checking) {
             self.call = Call::Idle;
         }
     }
 
-    /// The open release ended, well or not.
+    /// Records the end of the release in flight, whether it succeeded or failed.
     pub fn released(&mut self) {
         if matches!(self.call, Call::Releasing) {
             self.call = Call::Idle;
@@ -282,7 +287,7 @@
     }
 
     fn next_call(&mut self, now: Instant) -> Option<Action> {
-        if !self.kept.is_empty() && now >= self.check_at {
+        if !self.grants.is_empty() && now >= self.check_at {
             self.check_at = now + self.settings.check_every;
             self.call = Call::Checking;
             return Some(Action::Check);
@@ -290,7 +295,7 @@
         if self.tokens < 1.0 {
             return None;
         }
-        let claims = self.to_rewrite();
+        let claims = self.claims_to_rewrite();
         if !claims.is_empty() {
             self.tokens -= 1.0;
             self.call = Call::Rewriting(claims.clone());
@@ -298,10 +303,10 @@
         }
         if !self.waiting.is_empty() {
             self.tokens -= 1.0;
-            let most = self.settings.batch_most.min(self.waiting.len());
-            let asked: Vec<Asked> = self.waiting.drain(..most).collect();
-            let claims = claims_of(&asked);
-            self.call = Call::Writing(asked);
+            let batch_size = self.settings.batch_most.min(self.waiting.len());
+            let waiters: Vec<Waiter> = self.waiting.drain(..batch_size).collect();
+            let claims = claims_of(&waiters);
+            self.call = Call::Writing(waiters);
             return Some(Action::Write(claims));
         }
         let claim = self.releases.pop_front()?;
@@ -310,72 +315,76 @@
         Some(Action::Release(claim))
     }
 
-    /// Whether another request asks for the same key at this moment.
-    fn holds_other(&self, claim: &Claim) -> bool {
-        let open: &[Asked] = match &self.call {
-            Call::Writing(asked) | Call::ReadDue(asked) | Call::Reading(asked) => asked,
+    /// Whether another request on this node waits for a claim of the same key.
+    fn is_claim_pending(&self, claim: &Claim) -> bool {
+        let in_flight: &[Waiter] = match &self.call {
+            Call::Writing(waiters) | Call::ReadDue(waiters) | Call::Reading(waiters) => waiters,
             Call::Idle | Call::Rewriting(_) | Call::Releasing | Call::Checking => &[],
         };
         self.waiting
             .iter()
-            .chain(open)
-            .any(|asked| asked.claim.key == claim.key)
+            .chain(in_flight)
+            .any(|waiter| waiter.claim.key == claim.key)
     }
 
-    /// Holders of a key are told apart by mark; the free keys are asked for again.
-    fn settle_conflict(&mut self, asked: Vec<Asked>, holders: &[Option<Mark>]) {
-        for (index, asked) in asked.into_iter().enumerate().rev() {
+    /// Answers the waiters of a write that was rejected because some keys are held. The mark of each
+    /// holder distinguishes a request's own claim from a duplicate. Waiters of free keys are queued
+    /// again.
+    fn resolve_conflict(&mut self, waiters: Vec<Waiter>, holders: &[Option<Mark>]) {
+        for (index, waiter) in waiters.into_iter().enumerate().rev() {
             match holders.get(index) {
-                Some(Some(mark)) if *mark == asked.claim.mark => {
-                    self.answers.push_back((asked, Verdict::Granted));
+                Some(Some(mark)) if *mark == waiter.claim.mark => {
+                    self.answers.push_back((waiter, Verdict::Granted));
                 }
-                Some(Some(_)) => self.answers.push_back((asked, Verdict::Duplicate)),
-                Some(None) | None => self.waiting.push_front(asked),
+                Some(Some(_)) => self.answers.push_back((waiter, Verdict::Duplicate)),
+                Some(None) | None => self.waiting.push_front(waiter),
             }
         }
     }
 
-    fn answer_all(&mut self, asked: impl IntoIterator<Item = Asked>, verdict: Verdict) {
-        let answered = asked.into_iter().map(|asked| (asked, verdict));
+    fn answer_all(&mut self, waiters: impl IntoIterator<Item = Waiter>, verdict: Verdict) {
+        let answered = waiters.into_iter().map(|waiter| (waiter, verdict));
         self.answers.extend(answered);
     }
 
-    /// What the asker is told, by what is known of the store at this moment.
-    fn judge(&mut self, now: Instant, claim: Claim, verdict: Verdict) -> Verdict {
+    /// Returns the verdict to answer with and records the grant; a grant becomes doubtful if the
+    /// store was restored from an older copy in the meantime.
+    fn confirm_verdict(&mut self, now: Instant, claim: Claim, verdict: Verdict) -> Verdict {
         if verdict != Verdict::Granted {
             return verdict;
         }
         if self.is_doubtful(now) {
             return Verdict::Doubtful;
         }
-        if self.kept.len() >= self.settings.kept_most {
-            self.kept.pop_front();
+        if self.grants.len() >= self.settings.kept_most {
+            self.grants.pop_front();
         }
-        self.kept.push_back(Kept {
+        self.grants.push_back(Grant {
             claim,
-            until: now + self.settings.copy_age_most,
-            written: true,
+            expires_at: now + self.settings.copy_age_most,
+            is_stored: true,
         });
         verdict
     }
 
-    /// Claims that the store may lack, for one write: it may name each key once.
-    fn to_rewrite(&self) -> Vec<Claim> {
+    /// Claims that the store may lack, for one write. The store rejects a write that names a key
+    /// twice, so each key is included once.
+    fn claims_to_rewrite(&self) -> Vec<Claim> {
         let mut claims: Vec<Claim> = Vec::new();
-        for kept in self.kept.iter().filter(|kept| !kept.written) {
+        for grant in self.grants.iter().filter(|grant| !grant.is_stored) {
             if claims.len() >= self.settings.batch_most {
                 break;
             }
-            if claims.iter().all(|claim| claim.key != kept.claim.key) {
-                claims.push(kept.claim.clone());
+            if claims.iter().all(|claim| claim.key != grant.claim.key) {
+                claims.push(grant.claim.clone());
             }
         }
         claims
     }
 
-    /// A write of claims that are remembered here ended. Whoever holds a key now, it is held; all
-    /// others are written again.
-    fn rewritten(&mut self, claims: &[Claim], written: &Written) {
+    /// Records the result of writing granted claims again. A key that has a holder, whoever it is,
+    /// counts as stored; all others are written again.
+    fn rewrite_finished(&mut self, claims: &[Claim], written: &Written) {
         for (index, claim) in claims.iter().enumerate() {
             let is_held = match written {
                 Written::Applied => true,
@@ -384,10 +393,10 @@
             };
             if is_held {
                 let same = self
-                    .kept
+                    .grants
                     .iter_mut()
-                    .filter(|kept| kept.claim.key == claim.key);
-                same.for_each(|kept| kept.written = true);
+                    .filter(|grant| grant.claim.key == claim.key);
+                same.for_each(|grant| grant.is_stored = true);
             }
         }
     }
@@ -396,28 +405,32 @@
         self.doubtful_until.is_some_and(|until| now < until)
     }
 
-    /// Those who ask while the store may lack claims are told at once.
-    fn refuse_in_doubt(&mut self, now: Instant) {
+    /// Rejects all waiters at once while the store may lack claims.
+    fn reject_while_doubtful(&mut self, now: Instant) {
         if !self.is_doubtful(now) {
             return;
         }
-        let asked = std::mem::take(&mut self.waiting);
-        self.answer_all(asked, Verdict::Doubtful);
+        let waiters = std::mem::take(&mut self.waiting);
+        self.answer_all(waiters, Verdict::Doubtful);
     }
 
-    /// Forgets claims that are older than any copy.
-    fn forget(&mut self, now: Instant) {
-        while self.kept.front().is_some_and(|kept| now >= kept.until) {
-            self.kept.pop_front();
+    /// Drops claims that are older than any copy the store may be restored from.
+    fn expire_grants(&mut self, now: Instant) {
+        while self
+            .grants
+            .front()
+            .is_some_and(|grant| now >= grant.expires_at)
+        {
+            self.grants.pop_front();
         }
     }
 
-    fn give_up_late(&mut self, now: Instant) {
+    fn expire_waiters(&mut self, now: Instant) {
         let answers = &mut self.answers;
-        self.waiting.retain(|asked| {
-            let in_time = now < asked.deadline;
+        self.waiting.retain(|waiter| {
+            let in_time = now < waiter.deadline;
             if !in_time {
-                answers.push_back((asked.clone(), Verdict::Unavailable));
+                answers.push_back((waiter.clone(), Verdict::Unavailable));
             }
             in_time
         });
@@ -431,6 +444,6 @@
     }
 }
 
-fn claims_of(asked: &[Asked]) -> Vec<Claim> {
-    asked.iter().map(|asked| asked.claim.clone()).collect()
+fn claims_of(waiters: &[Waiter]) -> Vec<Claim> {
+    waiters.iter().map(|waiter| waiter.claim.clone()).collect()
 }
--- a/crates/core/src/configs/claim.rs
+++ b/crates/core/src/configs/claim.rs
@@ -1,4 +1,4 @@
-//! Settings of the claims on idempotency keys.
+//! Settings for claims on idempotency keys.
 
 use std::time::Duration;
 
@@ -8,30 +8,31 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Requests that may wait for a claim in one node.
+    /// Maximum number of requests that wait for a claim on one node.
     pub pending_most: usize,
-    /// Keys claimed by one write; the store allows 128 operations in one.
+    /// Maximum number of keys claimed by one write; the store allows 128 operations in a write.
     pub batch_most: usize,
-    /// Writes a second that this node may spend on claims.
+    /// Rate at which this node may send writes for claims to the store.
     pub writes_per_second: f64,
-    /// Writes that may be spent at once after a quiet time.
+    /// Maximum number of writes in a burst after an idle period.
     pub writes_burst: f64,
-    /// How long a key is remembered after its claim.
+    /// How long the store keeps a key after its claim.
     #[serde(with = "humantime_serde")]
     pub remember_for: Duration,
-    /// How long one lease of the store takes in new claims.
+    /// How long new claims are attached to the same lease of the store.
     #[serde(with = "humantime_serde")]
     pub lease_used_for: Duration,
-    /// How old a copy the store may come back from.
+    /// Maximum age of a copy that the store may be restored from.
     #[serde(with = "humantime_serde")]
     pub copy_age_most: Duration,
-    /// Claims remembered for such a return; beyond that the oldest are forgotten.
+    /// Maximum number of granted claims a node remembers in case of such a restore; beyond that the
+    /// oldest are dropped.
     pub kept_most: usize,
-    /// How often the store is asked for a sign of its return while claims are remembered.
+    /// Interval at which the store is checked for a restore while granted claims are remembered.
     #[serde(with = "humantime_serde")]
     pub check_every: Duration,
-    /// How long after a return nothing is granted: every node has noticed by then and has written
-    /// its claims again.
+    /// How long after a restore nothing is granted. By then every node has detected the restore and
+    /// has written its claims again.
     #[serde(with = "humantime_serde")]
     pub doubtful_for: Duration,
 }
--- a/crates/core/tests/claim.rs
+++ b/crates/core/tests/claim.rs
@@ -1,4 +1,4 @@
-//! Claims: at most one grant per key, whatever happens to the writes.
+//! Claims: at most one request is granted each key, whatever happens to the writes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,18 +15,18 @@
     }
 }
 
-/// What happens to a write on its way.
+/// What happens to a write on its way to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fate {
     Applied,
     ReplyLost,
     NeverArrived,
     Refused,
-    /// Takes effect after everything else in the test.
+    /// Takes effect after all other steps of the test.
     Late,
 }
 
-/// The store, as far as claims see it, with a fate for each write.
+/// A fake store that handles each write by its fate.
 struct Store {
     keys: BTreeMap<Key, Mark>,
     fates: Vec<Fate>,
@@ -95,7 +95,7 @@
     }
 }
 
-/// Runs until nothing is due, and returns the answers.
+/// Executes actions until none is left, and returns the answers.
 fn run(claims: &mut Claims, store: &mut Store, now: Instant) -> Vec<(Ticket, Verdict)> {
     let mut answers = Vec::new();
     while let Some(action) = claims.poll(now) {
@@ -125,10 +125,10 @@
     Claims::new(Settings::default(), now)
 }
 
-/// What the callers see: the same key sent through two nodes, the first of which may be
-/// gone by then, is granted at most once, whatever became of the first write. A key whose
-/// first request was told "unavailable" is granted to nobody while its write may still
-/// take effect, or to one.
+/// Guards against two runs of one key that is sent through two nodes, the first of which may have
+/// crashed in between. The key is granted at most once, whatever happened to the first write. If
+/// the first request was answered "unavailable" and its write may still take effect, the key is
+/// granted to at most one request.
 #[rstest]
 #[case::applied(Fate::Applied, Verdict::Granted, Verdict::Duplicate)]
 #[case::reply_lost(Fate::ReplyLost, Verdict::Granted, Verdict::Duplicate)]
@@ -149,9 +149,8 @@
     assert_eq!(store.keys.len(), 1, "the key has one holder");
 }
 
-/// What the callers see: a write took effect, its reply was lost, and the store cannot
-/// be read: the request is refused as not run, and a repeat is not run either while the
-/// store says that the key is held.
+/// A write takes effect, its reply is lost, and the store cannot be read. The request is refused as
+/// not run, and a retry is not run either while the store holds the key.
 #[test]
 fn ask_without_confirmation_is_unavailable() {
     let now = Instant::now();
@@ -160,7 +159,7 @@
     store.readable = false;
     let mut one = claims(now);
     one.ask(Ticket(1), claim("key", "one"), deadline);
-    // The release that follows is best effort; here it never reaches the store.
+    // The release that follows is best effort; in this test it does not reach the store.
     let mut answers = Vec::new();
     while let Some(action) = one.poll(now) {
         match action {
@@ -203,8 +202,8 @@
     );
 }
 
-/// The entry node sends a request to a second host only after the first certainly
-/// refused it; the second finds the mark of this very request and may go on.
+/// The entry node sends a request to a second host only after the first has certainly refused it.
+/// The second host finds the mark of the same request in the store and may proceed.
 #[test]
 fn ask_with_the_same_mark_is_granted_again() {
     let now = Instant::now();
@@ -221,7 +220,7 @@
 }
 
 #[test]
-fn ask_conflict_in_a_batch_spares_the_others() {
+fn ask_conflict_in_a_batch_grants_the_other_keys() {
     let now = Instant::now();
     let deadline = now + Duration::from_secs(5);
     let mut store = Store::new(&[]);
@@ -269,12 +268,12 @@
         batch_most: 64,
         ..Settings::default()
     };
-    let began = Instant::now();
-    let mut node = Claims::new(settings, began);
+    let started_at = Instant::now();
+    let mut node = Claims::new(settings, started_at);
     let mut store = Store::new(&[]);
     let mut granted = 0;
     for millisecond in 0..1000_u64 {
-        let now = began + Duration::from_millis(millisecond);
+        let now = started_at + Duration::from_millis(millisecond);
         let ticket = Ticket(millisecond);
         let deadline = now + Duration::from_secs(5);
         node.ask(ticket, claim(&millisecond.to_string(), "mine"), deadline);
@@ -302,8 +301,8 @@
     );
 }
 
-/// A store with a key that one node was granted, which the store loses: it has come back from a
-/// copy that is older than the claim.
+/// Returns a store that lost a claim, as after a restore from a copy older than the claim, and the
+/// node that was granted it.
 fn lost_claim(now: Instant) -> (Store, Claims) {
     let mut store = Store::new(&[]);
     let mut one = claims(now);
@@ -317,9 +316,9 @@
     (store, one)
 }
 
-/// What the callers see: a request ran, the store lost its claim, and its caller repeats it through
-/// another node. That node is granted nothing until the first has written the claim again, and says
-/// that the request may have run; later the key is found held.
+/// Guards against a second run of a request whose claim the store lost and whose caller retries it
+/// through another node. That node answers "doubtful" until the first node has had time to write
+/// the claim again; after that it finds the key held.
 #[test]
 fn store_returned_grants_no_key_that_was_lost() {
     let lost_at = Instant::now();
@@ -333,9 +332,9 @@
         run(&mut other, &mut store, asked_at),
         [(Ticket(2), Verdict::Doubtful)]
     );
-    let noticed_at = lost_at + Duration::from_secs(2);
-    one.store_returned(noticed_at);
-    assert_eq!(run(&mut one, &mut store, noticed_at), []);
+    let detected_at = lost_at + Duration::from_secs(2);
+    one.store_returned(detected_at);
+    assert_eq!(run(&mut one, &mut store, detected_at), []);
     let later = lost_at + Settings::default().doubtful_for;
     other.ask(
         Ticket(3),
@@ -348,8 +347,8 @@
     );
 }
 
-/// A claim is on its way while the store comes back: it took effect, and nobody can know whether
-/// the key was free before. Its request is not run.
+/// The store is restored from a copy while a write is in flight. The write takes effect, but the
+/// key may have been held before, so the request is not run.
 #[test]
 fn store_returned_during_a_write_grants_nothing() {
     let now = Instant::now();
@@ -364,13 +363,13 @@
     );
 }
 
-/// The first write after the store's return fails, or its reply is lost: the claim is written until
-/// it is there, however often it takes.
+/// The first writes after a restore of the store fail, or their replies are lost. The claim is
+/// written again until the store holds it.
 #[rstest]
 #[case::refused(Fate::Refused)]
 #[case::never_arrived(Fate::NeverArrived)]
 #[case::reply_lost(Fate::ReplyLost)]
-fn store_returned_writes_again_until_it_holds(#[case] fate: Fate) {
+fn store_returned_rewrites_until_stored(#[case] fate: Fate) {
     let now = Instant::now();
     let (mut store, mut one) = lost_claim(now);
     store.fates = vec![Fate::Applied, fate, fate];
@@ -380,11 +379,11 @@
     assert_eq!(store.keys.get(&Key(Arc::from("key"))), Some(&mark));
 }
 
-/// A claim older than any copy is not written again, and neither is one that was given back.
+/// Neither a claim that is older than any copy nor a released one is written again.
 #[rstest]
 #[case::old(Duration::from_secs(31), false)]
-#[case::given_back(Duration::from_secs(1), true)]
-fn store_returned_forgets(#[case] after: Duration, #[case] released: bool) {
+#[case::released(Duration::from_secs(1), true)]
+fn store_returned_drops_old_and_released_claims(#[case] after: Duration, #[case] released: bool) {
     let now = Instant::now();
     let (mut store, mut one) = lost_claim(now);
     if released {
@@ -396,8 +395,8 @@
     assert!(store.keys.is_empty());
 }
 
-/// The store comes back twice before a claim is there again. A transaction may name each key once;
-/// one that names a key twice is refused whole, however often it is sent.
+/// The store is restored twice before a claim is written again. The store rejects a transaction
+/// that names a key twice, so the key must be included once.
 #[test]
 fn store_returned_twice_writes_each_key_once() {
     let now = Instant::now();
@@ -414,8 +413,8 @@
     assert_eq!(written, [claim("key", "one")]);
 }
 
-/// The store comes back again while a claim is being written to it: whether that write is in the
-/// newer state nobody knows, so that it is made once more.
+/// The store is restored a second time while a claim is being written again. The write may be
+/// missing from the newly restored state, so it is repeated.
 #[test]
 fn store_returned_during_a_rewrite_writes_again() {
     let now = Instant::now();
