--- a/crates/core/src/configs/gate.rs
+++ b/crates/core/src/configs/gate.rs
@@ -1,4 +1,4 @@
-//! Settings of the gate before the upstream.
+//! Settings for the gate in front of the upstream.
 
 use std::time::Duration;
 
@@ -8,16 +8,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// An upstream that has not announced itself for this long gets nothing new.
+    /// An upstream that has not announced itself for this long gets no new requests.
     #[serde(with = "humantime_serde")]
     pub announcement_lapses: Duration,
-    /// A timer that is this late means that the process was paused.
+    /// A timer tick that is this late means that the process was paused.
     #[serde(with = "humantime_serde")]
     pub pause_noticed: Duration,
-    /// After a pause, how long to wait for a peer or the store before going on with what is known.
+    /// How long to wait for a peer or the store after a pause before continuing with the state from
+    /// before the pause.
     #[serde(with = "humantime_serde")]
     pub wake_gives_up: Duration,
-    /// Requests let in before leaving began may be handed over for this long.
+    /// How long after the start of a drain requests that were admitted before may still be sent to
+    /// the upstream.
     #[serde(with = "humantime_serde")]
     pub leaving_grace: Duration,
 }
--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -1,8 +1,8 @@
-//! Whether the node beside an upstream lets anything new through.
+//! Whether the node beside an upstream admits new requests.
 //!
-//! The gate is the only way to the upstream, so closing it here is what makes "a
-//! leaving host gets no new request" true on every node, also on one that has not
-//! heard of it yet: its request is refused as not run and placed elsewhere.
+//! All requests reach the upstream through its gate. Closing the gate therefore ensures that a
+//! leaving host gets no new request, even from a node that does not yet know that it is leaving:
+//! that node's request is refused as not run and is placed on another host.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -10,117 +10,118 @@
 use crate::configs::gate::Settings;
 use crate::outcome::Reason;
 
-/// Why the gate may be closed; open only while none holds.
+/// State of the gate; it is open only while there is no reason to close it.
 #[derive(Debug)]
 pub struct Gate {
     settings: Settings,
-    drained_by: BTreeSet<Cause>,
+    drain_causes: BTreeSet<Cause>,
     announced_until: Option<Instant>,
-    closes_at: Option<Instant>,
-    woken: Option<Wake>,
+    drain_deadline: Option<Instant>,
+    pause: Option<Pause>,
     last_tick: Instant,
 }
 
-/// Why the upstream is to get nothing new.
+/// Reason to send no new requests to the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Cause {
     /// This node is stopping.
     Stop,
-    /// The upstream says so.
+    /// The upstream announced that it is draining.
     Upstream,
-    /// The preset in force lists the host.
+    /// The preset in force lists the host as leaving.
     Preset,
-    /// The host's availability zone is evacuated.
+    /// The host's availability zone has been evacuated.
     Evacuation,
 }
 
-/// A pause of this process was noticed and not yet made good.
+/// A pause of this process after which no up-to-date state has been received yet.
 #[derive(Debug)]
-struct Wake {
-    noticed_at: Instant,
-    give_up_at: Instant,
+struct Pause {
+    detected_at: Instant,
+    expires_at: Instant,
 }
 
 impl Gate {
-    /// A gate that stays closed until the upstream announces itself.
+    /// Creates a gate that stays closed until the upstream announces itself.
     #[must_use]
     pub const fn new(settings: Settings, now: Instant) -> Self {
         Self {
             settings,
-            drained_by: BTreeSet::new(),
+            drain_causes: BTreeSet::new(),
             announced_until: None,
-            closes_at: None,
-            woken: None,
+            drain_deadline: None,
+            pause: None,
             last_tick: now,
         }
     }
 
-    /// The upstream announced itself; `draining` is its own word.
+    /// Records an announcement of the upstream; `draining` is whether it reports that it is
+    /// draining.
     pub fn announced(&mut self, now: Instant, draining: bool) {
         self.announced_until = Some(now + self.settings.announcement_lapses);
         self.set_drain(now, Cause::Upstream, draining);
     }
 
-    /// This node is stopping; never taken back.
+    /// Drains the upstream because this node is stopping; this cannot be undone.
     pub fn stop(&mut self, now: Instant) {
         self.set_drain(now, Cause::Stop, true);
     }
 
-    /// The preset in force lists this host as leaving, or no longer does.
+    /// Records whether the preset in force lists this host as leaving.
     pub fn set_preset_drain(&mut self, now: Instant, leaving: bool) {
         self.set_drain(now, Cause::Preset, leaving);
     }
 
-    /// The host's availability zone is evacuated, or no longer is.
+    /// Records whether the host's availability zone has been evacuated.
     pub fn set_evacuated(&mut self, now: Instant, evacuated: bool) {
         self.set_drain(now, Cause::Evacuation, evacuated);
     }
 
-    /// Whether the host's availability zone is evacuated.
+    /// Whether the host's availability zone has been evacuated.
     #[must_use]
     pub fn is_evacuated(&self) -> bool {
-        self.drained_by.contains(&Cause::Evacuation)
+        self.drain_causes.contains(&Cause::Evacuation)
     }
 
-    /// Called often by a timer; a late call means the process was paused.
+    /// Detects pauses of the process; a timer calls this at a short interval, and a late call means
+    /// that the process was paused.
     ///
-    /// Failure: a node frozen for a minute wakes with the preset and members of
-    /// before. Symptom: a host that was put into maintenance meanwhile runs new
-    /// requests. The gap shows on the monotonic clock before anything else is done,
-    /// and the gate stays closed until a peer or the store has been heard; after
-    /// `wake_gives_up` of hearing nobody it opens with what it knows, since then
-    /// nobody reachable knows better.
+    /// Failure: a node that was paused for a minute resumes with the preset and members it knew
+    /// before. Symptom: a host that was put into maintenance meanwhile runs new requests. The gap
+    /// on the monotonic clock is detected before anything else is done, and the gate stays closed
+    /// until a peer or the store has replied. If none replies within `wake_gives_up`, the gate
+    /// opens with the state it has, because no reachable process has a newer one.
     pub fn tick(&mut self, now: Instant) {
         if now.duration_since(self.last_tick) > self.settings.pause_noticed {
-            self.woken = Some(Wake {
-                noticed_at: now,
-                give_up_at: now + self.settings.wake_gives_up,
+            self.pause = Some(Pause {
+                detected_at: now,
+                expires_at: now + self.settings.wake_gives_up,
             });
         }
         self.last_tick = now;
         if self
-            .woken
+            .pause
             .as_ref()
-            .is_some_and(|wake| now >= wake.give_up_at)
+            .is_some_and(|pause| now >= pause.expires_at)
         {
-            self.woken = None;
+            self.pause = None;
         }
     }
 
-    /// A peer or the store was heard, and what it knew has been taken in.
+    /// Records that the state of a peer or the store was received and applied.
     ///
-    /// `asked_at` is when the exchange began: one begun before the pause proves
-    /// nothing about what happened during it.
+    /// `asked_at` is when the exchange began. An exchange that began before a pause may lack what
+    /// happened during the pause, so it does not open the gate.
     pub fn refreshed(&mut self, asked_at: Instant) {
-        let Some(wake) = &self.woken else { return };
-        if asked_at >= wake.noticed_at {
-            self.woken = None;
+        let Some(pause) = &self.pause else { return };
+        if asked_at >= pause.detected_at {
+            self.pause = None;
         }
     }
 
-    /// The reason to refuse a new request, if there is one.
+    /// Returns the reason to refuse a new request, if there is one.
     ///
-    /// Ticks itself, so that the first request after a pause already sees it.
+    /// Calls [`Self::tick`], so that a pause is detected by the first request after it.
     pub fn check(&mut self, now: Instant) -> Option<Reason> {
         self.tick(now);
         if self.is_leaving() {
@@ -129,7 +130,7 @@
         if self.is_evacuated() {
             return Some(Reason::Evacuated);
         }
-        if self.woken.is_some() {
+        if self.pause.is_some() {
             return Some(Reason::Stale);
         }
         match self.announced_until {
@@ -138,39 +139,40 @@
         }
     }
 
-    /// The reason not to hand over a request that was let in earlier.
+    /// Returns the reason not to send an admitted request to the upstream, if there is one.
     ///
-    /// Requests let in before leaving began may still be handed over for a short
-    /// grace; after a pause none is, since the pause may have been longer than that.
+    /// Requests admitted before the drain began may still be sent during a short grace period.
+    /// After a pause none is sent, because the pause may have been longer than the grace period.
     pub fn check_hand_over(&mut self, now: Instant) -> Option<Reason> {
         self.tick(now);
-        if self.woken.is_some() {
+        if self.pause.is_some() {
             return Some(Reason::Stale);
         }
-        match self.closes_at {
+        match self.drain_deadline {
             Some(at) if self.is_leaving() && now >= at => Some(Reason::Leaving),
             Some(at) if now >= at => Some(Reason::Evacuated),
             _ => None,
         }
     }
 
-    fn set_drain(&mut self, now: Instant, cause: Cause, drained: bool) {
-        if drained {
-            self.drained_by.insert(cause);
+    fn set_drain(&mut self, now: Instant, cause: Cause, draining: bool) {
+        if draining {
+            self.drain_causes.insert(cause);
         } else {
-            self.drained_by.remove(&cause);
+            self.drain_causes.remove(&cause);
         }
-        if self.drained_by.is_empty() {
-            self.closes_at = None;
-        } else if self.closes_at.is_none() {
-            self.closes_at = Some(now + self.settings.leaving_grace);
+        if self.drain_causes.is_empty() {
+            self.drain_deadline = None;
+        } else if self.drain_deadline.is_none() {
+            self.drain_deadline = Some(now + self.settings.leaving_grace);
         }
     }
 
-    /// Whether the host is leaving, for whatever cause; one in an evacuated zone comes back.
+    /// Whether the host is leaving for any cause other than an evacuation, after which it serves
+    /// requests again.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
-        self.drained_by
+        self.drain_causes
             .iter()
             .any(|cause| *cause != Cause::Evacuation)
     }
--- a/crates/core/tests/gate.rs
+++ b/crates/core/tests/gate.rs
@@ -1,4 +1,4 @@
-//! The gate: a leaving, silent or woken host gets nothing new.
+//! The gate: no new requests for a host that is leaving, unannounced or resuming from a pause.
 
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,7 @@
     gate
 }
 
-/// Ticks every 100 ms and renews the announcement, as a running node does.
+/// Ticks every 100 ms, as a running node does; returns the time of the last tick.
 fn run(gate: &mut Gate, from: Instant, millis: u64) -> Instant {
     let mut now = from;
     for _ in 0..millis / 100 {
@@ -49,13 +49,17 @@
     let mut gate = ready(now);
     leave(&mut gate, now);
     assert_eq!(gate.check(now), Some(Reason::Leaving));
-    assert_eq!(gate.check_hand_over(now), None, "let in before: may go on");
+    assert_eq!(
+        gate.check_hand_over(now),
+        None,
+        "admitted before the drain: may be sent"
+    );
     let later = run(&mut gate, now, 1600);
     assert_eq!(gate.check_hand_over(later), Some(Reason::Leaving));
 }
 
 #[test]
-fn check_opens_again_when_the_preset_no_longer_says_leaving() {
+fn check_opens_again_when_the_preset_no_longer_lists_the_host() {
     let now = Instant::now();
     let mut gate = ready(now);
     gate.set_preset_drain(now, true);
@@ -63,37 +67,37 @@
     assert_eq!(gate.check(now), None);
 }
 
-/// What the caller sees: a node that was frozen refuses as not run instead of running on
-/// a host that may have left meanwhile. Order: it ticks, is paused for a minute, and a
-/// request comes first; then an exchange begun before the pause ends, then one begun
-/// after it.
+/// Guards against a node that resumes from a pause and runs requests on a host that may have left
+/// meanwhile; it must refuse them as not run. The node is paused for a minute, and a request
+/// arrives first. Then an exchange that began before the pause ends, and then one that began after
+/// it.
 #[test]
-fn check_after_a_pause_waits_for_fresh_news() {
+fn check_after_a_pause_waits_for_a_refresh() {
     let now = Instant::now();
     let mut gate = ready(now);
     let before = run(&mut gate, now, 500);
-    let woken = before + Duration::from_mins(1);
-    gate.announced(woken, false);
-    assert_eq!(gate.check(woken), Some(Reason::Stale));
-    assert_eq!(gate.check_hand_over(woken), Some(Reason::Stale));
+    let resumed_at = before + Duration::from_mins(1);
+    gate.announced(resumed_at, false);
+    assert_eq!(gate.check(resumed_at), Some(Reason::Stale));
+    assert_eq!(gate.check_hand_over(resumed_at), Some(Reason::Stale));
     gate.refreshed(before);
     assert_eq!(
-        gate.check(woken),
+        gate.check(resumed_at),
         Some(Reason::Stale),
-        "old news prove nothing"
+        "an exchange from before the pause does not open the gate"
     );
-    gate.refreshed(woken);
-    assert_eq!(gate.check(woken), None);
+    gate.refreshed(resumed_at);
+    assert_eq!(gate.check(resumed_at), None);
 }
 
 #[test]
-fn check_after_a_pause_opens_when_nobody_can_be_heard() {
+fn check_after_a_pause_opens_when_nobody_replies() {
     let now = Instant::now();
     let mut gate = ready(now);
-    let woken = now + Duration::from_mins(1);
-    gate.announced(woken, false);
-    gate.tick(woken);
-    let later = run(&mut gate, woken, 2900);
+    let resumed_at = now + Duration::from_mins(1);
+    gate.announced(resumed_at, false);
+    gate.tick(resumed_at);
+    let later = run(&mut gate, resumed_at, 2900);
     assert_eq!(gate.check(later), Some(Reason::Stale));
     let later = run(&mut gate, later, 200);
     gate.announced(later, false);
