--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -1,200 +1,220 @@
-//! Which start of the upstream stands beside this node.
+//! Which incarnation of the upstream is running beside this node.
 //!
-//! An upstream that starts again is a new instance at the same address, or starts again under
-//! the id that it had and counts its messages anew. Messages of the start before may still
-//! arrive, late or out of order, and must change nothing.
+//! An upstream that restarts is a new instance at the same address, or it reuses its instance id
+//! and numbers its messages from the beginning. Messages of the previous incarnation may still
+//! arrive, late or out of order, and must be ignored.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Past starts remembered; each start of the upstream adds one, and a message is late
-/// by seconds, so that a few would do.
-const PAST_MOST: usize = 32;
+/// Maximum number of ended incarnations remembered. Each restart of the upstream adds one, and
+/// messages are late by seconds only, so a few would suffice.
+const MAX_PREDECESSORS: usize = 32;
 
-/// What to do with a message of an upstream.
+/// How to handle a message of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It tells the present state.
+    /// The message is of the current incarnation and describes its current state.
     Current,
-    /// It is the first of another start: nothing that was learnt of the one before holds.
+    /// The message is the first of another incarnation: everything learned about the previous one
+    /// is obsolete.
     Started,
-    /// It is late or of a start that has ended: acknowledge it and change nothing.
+    /// The message is late or of an ended incarnation: acknowledge it and ignore its contents.
     Outdated,
 }
 
-/// A message of an upstream, as far as its order matters.
+/// The parts of an upstream message that determine its order.
 #[derive(Clone, Copy, Debug)]
 pub struct Message<'a> {
-    /// Id by which the upstream is expected to answer.
+    /// Instance id of the upstream that sent the message.
     pub instance: &'a Arc<str>,
-    /// When it started by its own clock, in milliseconds since the Unix epoch, if it tells.
+    /// Start time of the upstream by its own clock, in milliseconds since the Unix epoch, if it
+    /// reports one.
     pub born: Option<u64>,
-    /// Rises with each message of a start.
+    /// Number that increases with each message of an incarnation.
     pub sequence: u64,
 }
 
-/// The present start, and those before it.
+/// The current incarnation of the upstream and the previous ones.
 #[derive(Debug)]
 pub struct Register {
-    current: Option<Known>,
-    past: VecDeque<Past>,
-    /// A start that has been silent for this long no longer outweighs another.
-    lapses: Duration,
+    current: Option<Active>,
+    predecessors: VecDeque<Predecessor>,
+    /// An incarnation that has sent nothing for this long no longer takes precedence over another.
+    silence_timeout: Duration,
 }
 
 #[derive(Debug)]
-struct Known {
-    start: Start,
+struct Active {
+    incarnation: Incarnation,
     sequence: u64,
-    lapses_at: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Start {
+struct Incarnation {
     instance: Arc<str>,
     born: Option<u64>,
 }
 
 #[derive(Debug)]
-struct Past {
-    start: Start,
-    /// Until then a message that cannot be told from its own is taken as late.
+struct Predecessor {
+    incarnation: Incarnation,
+    /// Until then a message that may be of this incarnation counts as late, even if start times
+    /// cannot be compared.
     late_until: Instant,
 }
 
-impl Past {
-    /// Whether a message is of this start, or may be and comes soon after its end.
-    fn sent(&self, now: Instant, message: &Message<'_>) -> bool {
-        let told = self.start.born.is_some() == message.born.is_some();
-        self.start.may_have_sent(message) && (told || now < self.late_until)
+impl Predecessor {
+    /// Whether a message is of this incarnation, or may be and arrives soon after the end of the
+    /// incarnation.
+    fn is_sender_of(&self, now: Instant, message: &Message<'_>) -> bool {
+        let comparable = self.incarnation.born.is_some() == message.born.is_some();
+        self.incarnation.may_be_sender_of(message) && (comparable || now < self.late_until)
     }
 }
 
-impl Start {
-    /// Whether a message is certainly of a start before this one, by the clock of the upstream.
-    fn is_after(&self, born: Option<u64>) -> bool {
+impl Incarnation {
+    /// Whether this incarnation certainly started after `born`, by the clock of the upstream.
+    fn started_after(&self, born: Option<u64>) -> bool {
         matches!((self.born, born), (Some(own), Some(other)) if own > other)
     }
 
-    /// Whether a message may be of this start.
-    fn may_have_sent(&self, message: &Message<'_>) -> bool {
+    /// Whether a message may be of this incarnation.
+    fn may_be_sender_of(&self, message: &Message<'_>) -> bool {
         self.instance == *message.instance
             && (self.born.is_none() || message.born.is_none() || self.born == message.born)
     }
 }
 
 impl Register {
-    /// No start is known; one that has been silent for `lapses` no longer outweighs another.
+    /// Creates a register without a current incarnation. An incarnation that has sent nothing for
+    /// `silence_timeout` no longer takes precedence over another.
     #[must_use]
-    pub const fn new(lapses: Duration) -> Self {
+    pub const fn new(silence_timeout: Duration) -> Self {
         Self {
             current: None,
-            past: VecDeque::new(),
-            lapses,
+            predecessors: VecDeque::new(),
+            silence_timeout,
         }
     }
 
-    /// An upstream tells its state.
+    /// Records a message in which an upstream reports its state.
     ///
-    /// Failure: a message of an upstream that has crashed arrives after its successor's
-    /// first. Symptom: requests name an instance that is gone and are all refused; or the
-    /// successor has the same id, counts from one, and each of its messages looks late. The
-    /// start orders messages before their sequence does, and a start that was succeeded is
-    /// not taken back.
+    /// Failure: a message of an upstream that has crashed arrives after the first message of its
+    /// successor. Symptom: requests name an instance that is gone and are all refused; or the
+    /// successor has the same id, numbers its messages from one, and each of them looks late.
+    /// Messages are ordered by start time before sequence number, and an incarnation that was
+    /// replaced is not made current again by a late message.
     ///
-    /// Failure: the clock of the upstream's host was set back before it started again. Symptom:
-    /// it looks older than the start before and would be ignored for good. Once the start
-    /// before has lapsed, its node takes nothing for it any more, and whoever speaks is believed.
+    /// Failure: the clock of the upstream's host was set back before the upstream restarted.
+    /// Symptom: the new incarnation looks older than the previous one and would be ignored forever.
+    /// Once the previous incarnation has timed out, the node sends it no requests any more, and the
+    /// next message is accepted whatever start time it reports.
     pub fn heard(&mut self, now: Instant, message: Message<'_>) -> Verdict {
-        if self.past.iter().any(|past| past.sent(now, &message)) {
+        if self
+            .predecessors
+            .iter()
+            .any(|predecessor| predecessor.is_sender_of(now, &message))
+        {
             return Verdict::Outdated;
         }
-        let lapses_at = now + self.lapses;
+        let expires_at = now + self.silence_timeout;
         match &mut self.current {
-            Some(known) if known.start.may_have_sent(&message) => {
-                if message.sequence < known.sequence {
+            Some(active) if active.incarnation.may_be_sender_of(&message) => {
+                if message.sequence < active.sequence {
                     return Verdict::Outdated;
                 }
-                known.start.born = known.start.born.or(message.born);
-                known.sequence = message.sequence;
-                known.lapses_at = lapses_at;
+                active.incarnation.born = active.incarnation.born.or(message.born);
+                active.sequence = message.sequence;
+                active.expires_at = expires_at;
                 return Verdict::Current;
             }
-            Some(known) if known.start.is_after(message.born) && now < known.lapses_at => {
+            Some(active)
+                if active.incarnation.started_after(message.born) && now < active.expires_at =>
+            {
                 return Verdict::Outdated;
             }
             _ => {}
         }
-        let known = Known {
-            start: Start {
+        let active = Active {
+            incarnation: Incarnation {
                 instance: Arc::clone(message.instance),
                 born: message.born,
             },
             sequence: message.sequence,
-            lapses_at,
+            expires_at,
         };
-        self.succeed(now, known);
+        self.replace_current(now, active);
         Verdict::Started
     }
 
-    /// An instance says that it ends; none of its messages counts from now on. A start that
-    /// comes after under the same id is not meant.
+    /// Records that an instance announced its end; its messages are ignored from now on. A later
+    /// incarnation with the same id is not affected.
     pub fn left(&mut self, now: Instant, instance: &Arc<str>, born: Option<u64>) -> Verdict {
         let message = Message {
             instance,
             born,
             sequence: u64::MAX,
         };
-        let ends = |known: &mut Known| known.start.may_have_sent(&message);
-        if let Some(known) = self.current.take_if(ends) {
-            self.retire(now, known.start);
+        let is_ending = |active: &mut Active| active.incarnation.may_be_sender_of(&message);
+        if let Some(active) = self.current.take_if(is_ending) {
+            self.retire(now, active.incarnation);
             return Verdict::Current;
         }
         let instance = Arc::clone(instance);
-        self.retire(now, Start { instance, born });
+        self.retire(now, Incarnation { instance, born });
         Verdict::Outdated
     }
 
-    /// The upstream itself refused a request as meant for another instance than this one.
+    /// Makes `instance` current after the upstream itself refused a request for another instance
+    /// and reported this one.
     ///
-    /// Failure: the first message ever heard of an instance is a late one, after that of
-    /// its successor. Symptom: the successor counts as past and is never taken back. What
-    /// stands at the address settles it.
+    /// Failure: the first message received of an instance is a late one that arrives after a
+    /// message of its successor. Symptom: the successor counts as ended and never becomes current
+    /// again. The reply of the process at the upstream's address is authoritative.
     pub fn found(&mut self, now: Instant, instance: &Arc<str>) {
         if self.current().is_some_and(|current| current == instance) {
             return;
         }
-        self.past.retain(|past| past.start.instance != *instance);
-        let known = Known {
-            start: Start {
+        self.predecessors
+            .retain(|predecessor| predecessor.incarnation.instance != *instance);
+        let active = Active {
+            incarnation: Incarnation {
                 instance: Arc::clone(instance),
                 born: None,
             },
             sequence: 0,
-            lapses_at: now + self.lapses,
+            expires_at: now + self.silence_timeout,
         };
-        self.succeed(now, known);
+        self.replace_current(now, active);
     }
 
-    /// The present instance.
+    /// Id of the current instance.
     #[must_use]
     pub fn current(&self) -> Option<&Arc<str>> {
-        self.current.as_ref().map(|known| &known.start.instance)
+        self.current
+            .as_ref()
+            .map(|active| &active.incarnation.instance)
     }
 
-    fn succeed(&mut self, now: Instant, known: Known) {
-        if let Some(before) = self.current.replace(known) {
-            self.retire(now, before.start);
+    fn replace_current(&mut self, now: Instant, active: Active) {
+        if let Some(previous) = self.current.replace(active) {
+            self.retire(now, previous.incarnation);
         }
     }
 
-    fn retire(&mut self, now: Instant, start: Start) {
-        self.past.retain(|past| past.start != start);
-        if self.past.len() == PAST_MOST {
-            self.past.pop_front();
+    fn retire(&mut self, now: Instant, incarnation: Incarnation) {
+        self.predecessors
+            .retain(|predecessor| predecessor.incarnation != incarnation);
+        if self.predecessors.len() == MAX_PREDECESSORS {
+            self.predecessors.pop_front();
         }
-        let late_until = now + self.lapses;
-        self.past.push_back(Past { start, late_until });
+        let late_until = now + self.silence_timeout;
+        self.predecessors.push_back(Predecessor {
+            incarnation,
+            late_until,
+        });
     }
 }
--- a/crates/core/tests/instance.rs
+++ b/crates/core/tests/instance.rs
@@ -1,4 +1,4 @@
-//! Which start of the upstream counts, when messages come late or out of order.
+//! Which incarnation of the upstream is current when messages arrive late or out of order.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,23 +6,23 @@
 use mintridge_core::instance::{Message, Register, Verdict};
 use rstest::rstest;
 
-/// A start that has been silent for this long no longer outweighs another.
-const LAPSES: Duration = Duration::from_secs(12);
+/// An incarnation that has sent nothing for this long no longer takes precedence over another.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(12);
 
 fn name(text: &str) -> Arc<str> {
     Arc::from(text)
 }
 
-/// A register at one instant, which tests move on.
-struct Scene {
+/// A register with a clock that tests advance.
+struct Fixture {
     register: Register,
     now: Instant,
 }
 
-impl Scene {
+impl Fixture {
     fn new() -> Self {
         Self {
-            register: Register::new(LAPSES),
+            register: Register::new(SILENCE_TIMEOUT),
             now: Instant::now(),
         }
     }
@@ -41,145 +41,147 @@
         self.register.left(self.now, &name(instance), born)
     }
 
-    fn after(&mut self, pause: Duration) -> &mut Self {
-        self.now += pause;
+    fn advance(&mut self, duration: Duration) -> &mut Self {
+        self.now += duration;
         self
     }
 }
 
-/// Callers of a restarted upstream would all be refused if the late message of the one
-/// that crashed were believed: it arrives after the first message of its successor.
+/// A message of a crashed upstream arrives after the first message of its successor. If it made the
+/// crashed one current again, all requests to the successor would be refused.
 #[rstest]
-#[case::late_of_the_one_before("old", 9, Verdict::Outdated, "new")]
+#[case::late_of_the_predecessor("old", 9, Verdict::Outdated, "new")]
 #[case::late_of_its_own("new", 1, Verdict::Outdated, "new")]
 #[case::in_order("new", 3, Verdict::Current, "new")]
 #[case::successor("newer", 1, Verdict::Started, "newer")]
-fn heard_changes_nothing_when_late(
+fn heard_ignores_late_messages(
     #[case] instance: &str,
     #[case] sequence: u64,
     #[case] expected: Verdict,
     #[case] current: &str,
 ) {
-    let mut scene = Scene::new();
-    scene.heard("old", None, 8);
-    scene.heard("new", None, 2);
-    assert_eq!(scene.heard(instance, None, sequence), expected);
-    assert_eq!(scene.register.current(), Some(&name(current)));
+    let mut fixture = Fixture::new();
+    fixture.heard("old", None, 8);
+    fixture.heard("new", None, 2);
+    assert_eq!(fixture.heard(instance, None, sequence), expected);
+    assert_eq!(fixture.register.current(), Some(&name(current)));
 }
 
-/// The upstream crashes and starts again under the id that it had. Its messages count from
-/// one; ordered by their number alone, they would all look late, and callers would be refused
-/// for as long as the start before had lived. Messages of that start still arrive in between.
+/// The upstream crashes and restarts with the same id, and its messages are numbered from one
+/// again. Ordered by sequence number alone they would all look late, and callers would be refused
+/// for as long as the previous incarnation had run. Messages of that incarnation still arrive in
+/// between.
 #[rstest]
-#[case::first_of_the_new_start(200, 1, Verdict::Started)]
-#[case::late_of_the_start_before(100, 9, Verdict::Outdated)]
-#[case::late_of_one_before_that(50, 99, Verdict::Outdated)]
-fn heard_orders_starts_under_one_id(
+#[case::first_of_the_new_incarnation(200, 1, Verdict::Started)]
+#[case::late_of_the_previous_incarnation(100, 9, Verdict::Outdated)]
+#[case::late_of_an_earlier_incarnation(50, 99, Verdict::Outdated)]
+fn heard_orders_incarnations_with_one_id(
     #[case] born: u64,
     #[case] sequence: u64,
     #[case] expected: Verdict,
 ) {
-    let mut scene = Scene::new();
-    scene.heard("a", Some(100), 8);
+    let mut fixture = Fixture::new();
+    fixture.heard("a", Some(100), 8);
     if born != 200 {
-        scene.heard("a", Some(200), 1);
+        fixture.heard("a", Some(200), 1);
     }
-    assert_eq!(scene.heard("a", Some(born), sequence), expected);
-    assert_eq!(scene.heard("a", Some(200), 2), Verdict::Current);
+    assert_eq!(fixture.heard("a", Some(born), sequence), expected);
+    assert_eq!(fixture.heard("a", Some(200), 2), Verdict::Current);
 }
 
-/// The node itself starts again between two starts of the upstream, and the first message that
-/// it hears is a late one of the start before, under another id or the same.
+/// The node itself restarts during a restart of the upstream, and the first message it receives is
+/// a late one of the previous incarnation, with the same id or another.
 #[rstest]
 #[case::same_id("a")]
 #[case::other_id("before")]
-fn heard_after_the_node_began_again(#[case] before: &str) {
-    let mut scene = Scene::new();
-    assert_eq!(scene.heard(before, Some(100), 40), Verdict::Started);
-    assert_eq!(scene.heard("a", Some(200), 1), Verdict::Started);
-    assert_eq!(scene.heard(before, Some(100), 41), Verdict::Outdated);
-    assert_eq!(scene.register.current(), Some(&name("a")));
+fn heard_after_a_restart_of_the_node(#[case] before: &str) {
+    let mut fixture = Fixture::new();
+    assert_eq!(fixture.heard(before, Some(100), 40), Verdict::Started);
+    assert_eq!(fixture.heard("a", Some(200), 1), Verdict::Started);
+    assert_eq!(fixture.heard(before, Some(100), 41), Verdict::Outdated);
+    assert_eq!(fixture.register.current(), Some(&name("a")));
 }
 
-/// A late message is the first that is ever heard of an earlier start, after that of its
-/// successor: by the clock of the upstream it comes before.
+/// The first message received of an earlier incarnation is a late one that arrives after a message
+/// of its successor. Its start time shows that it is the older incarnation.
 #[test]
-fn heard_of_an_unknown_start_before() {
-    let mut scene = Scene::new();
-    scene.heard("new", Some(200), 5);
-    assert_eq!(scene.heard("old", Some(100), 9), Verdict::Outdated);
-    assert_eq!(scene.register.current(), Some(&name("new")));
+fn heard_ignores_an_unknown_earlier_incarnation() {
+    let mut fixture = Fixture::new();
+    fixture.heard("new", Some(200), 5);
+    assert_eq!(fixture.heard("old", Some(100), 9), Verdict::Outdated);
+    assert_eq!(fixture.register.current(), Some(&name("new")));
 }
 
-/// The clock of the upstream's host was set back before it started again, so that its start
-/// looks older than the one before. While that one may still be there nothing changes; once it
-/// has lapsed, callers would be refused for good if the clock were believed.
+/// The clock of the upstream's host was set back before the upstream restarted, so the new
+/// incarnation looks older than the previous one. It is ignored while the previous one may still
+/// run. Once that one has timed out, trusting the clock would refuse callers forever.
 #[rstest]
 #[case::same_id("a")]
 #[case::other_id("b")]
-fn heard_after_a_clock_was_set_back(#[case] again: &str) {
-    let mut scene = Scene::new();
-    scene.heard("a", Some(200), 8);
-    scene.after(LAPSES / 2);
-    assert_eq!(scene.heard(again, Some(150), 1), Verdict::Outdated);
-    scene.after(LAPSES);
-    assert_eq!(scene.heard(again, Some(150), 2), Verdict::Started);
-    assert_eq!(scene.heard(again, Some(150), 3), Verdict::Current);
+fn heard_after_a_clock_was_set_back(#[case] restarted_id: &str) {
+    let mut fixture = Fixture::new();
+    fixture.heard("a", Some(200), 8);
+    fixture.advance(SILENCE_TIMEOUT / 2);
+    assert_eq!(fixture.heard(restarted_id, Some(150), 1), Verdict::Outdated);
+    fixture.advance(SILENCE_TIMEOUT);
+    assert_eq!(fixture.heard(restarted_id, Some(150), 2), Verdict::Started);
+    assert_eq!(fixture.heard(restarted_id, Some(150), 3), Verdict::Current);
 }
 
-/// A node was frozen or cut off while its upstream started again twice; it hears only the last.
+/// A node was paused or disconnected while its upstream restarted twice, and it receives messages
+/// of the last incarnation first.
 #[test]
-fn heard_after_starts_that_were_missed() {
-    let mut scene = Scene::new();
-    scene.heard("a", Some(100), 8);
-    scene.after(LAPSES * 3);
-    assert_eq!(scene.heard("a", Some(300), 4), Verdict::Started);
-    assert_eq!(scene.heard("a", Some(200), 7), Verdict::Outdated);
+fn heard_after_missed_restarts() {
+    let mut fixture = Fixture::new();
+    fixture.heard("a", Some(100), 8);
+    fixture.advance(SILENCE_TIMEOUT * 3);
+    assert_eq!(fixture.heard("a", Some(300), 4), Verdict::Started);
+    assert_eq!(fixture.heard("a", Some(200), 7), Verdict::Outdated);
 }
 
-/// A message of an instance arrives after it said goodbye: it stays gone.
+/// A message of an instance that arrives after the instance announced its end is ignored.
 #[test]
 fn left_is_final() {
-    let mut scene = Scene::new();
-    scene.heard("a", None, 1);
-    assert_eq!(scene.left("a", None), Verdict::Current);
-    assert_eq!(scene.heard("a", None, 2), Verdict::Outdated);
-    assert_eq!(scene.register.current(), None);
+    let mut fixture = Fixture::new();
+    fixture.heard("a", None, 1);
+    assert_eq!(fixture.left("a", None), Verdict::Current);
+    assert_eq!(fixture.heard("a", None, 2), Verdict::Outdated);
+    assert_eq!(fixture.register.current(), None);
 }
 
-/// An instance says goodbye and starts again under its id: a goodbye of the start before, which
-/// arrives late, does not end the present one.
+/// An instance announces its end and restarts with the same id. A late end message of the previous
+/// incarnation does not end the current one.
 #[test]
-fn left_ends_its_own_start_only() {
-    let mut scene = Scene::new();
-    scene.heard("a", Some(100), 8);
-    assert_eq!(scene.left("a", Some(100)), Verdict::Current);
-    assert_eq!(scene.heard("a", Some(100), 9), Verdict::Outdated);
-    assert_eq!(scene.heard("a", Some(200), 1), Verdict::Started);
-    assert_eq!(scene.left("a", Some(100)), Verdict::Outdated);
-    assert_eq!(scene.heard("a", Some(200), 2), Verdict::Current);
+fn left_ends_only_its_own_incarnation() {
+    let mut fixture = Fixture::new();
+    fixture.heard("a", Some(100), 8);
+    assert_eq!(fixture.left("a", Some(100)), Verdict::Current);
+    assert_eq!(fixture.heard("a", Some(100), 9), Verdict::Outdated);
+    assert_eq!(fixture.heard("a", Some(200), 1), Verdict::Started);
+    assert_eq!(fixture.left("a", Some(100)), Verdict::Outdated);
+    assert_eq!(fixture.heard("a", Some(200), 2), Verdict::Current);
 }
 
-/// A goodbye that does not tell its start is taken for that of late messages, and not for a
-/// start that comes after these can still arrive.
+/// An end message without a start time applies to messages that arrive soon after it. It does not
+/// apply to an incarnation that starts when late messages can no longer arrive.
 #[test]
-fn left_without_a_start_is_forgotten() {
-    let mut scene = Scene::new();
-    scene.left("a", None);
-    assert_eq!(scene.heard("a", Some(100), 9), Verdict::Outdated);
-    scene.after(LAPSES);
-    assert_eq!(scene.heard("a", Some(200), 1), Verdict::Started);
+fn left_without_a_start_time_expires() {
+    let mut fixture = Fixture::new();
+    fixture.left("a", None);
+    assert_eq!(fixture.heard("a", Some(100), 9), Verdict::Outdated);
+    fixture.advance(SILENCE_TIMEOUT);
+    assert_eq!(fixture.heard("a", Some(200), 1), Verdict::Started);
 }
 
-/// The node restarts; a late message of an upstream that crashed is the first it hears of
-/// that one, after its successor's. What the upstream itself answers puts it right.
+/// After a restart of the node, a late message of a crashed upstream is the first one received of
+/// it and arrives after a message of its successor. The reply of the upstream itself corrects this.
 #[test]
-fn found_restores_the_one_at_the_address() {
-    let mut scene = Scene::new();
-    scene.heard("new", None, 5);
-    scene.heard("old", None, 9);
-    scene.register.found(scene.now, &name("new"));
-    assert_eq!(scene.register.current(), Some(&name("new")));
-    assert_eq!(scene.heard("new", None, 6), Verdict::Current);
-    assert_eq!(scene.heard("old", None, 10), Verdict::Outdated);
+fn found_restores_the_instance_at_the_address() {
+    let mut fixture = Fixture::new();
+    fixture.heard("new", None, 5);
+    fixture.heard("old", None, 9);
+    fixture.register.found(fixture.now, &name("new"));
+    assert_eq!(fixture.register.current(), Some(&name("new")));
+    assert_eq!(fixture.heard("new", None, 6), Verdict::Current);
+    assert_eq!(fixture.heard("old", None, 10), Verdict::Outdated);
 }
