--- a/crates/core/src/evacuation.rs
+++ b/crates/core/src/evacuation.rs
@@ -1,38 +1,41 @@
-//! Availability zones that operators have evacuated: their upstreams get nothing new.
+//! Availability zones that operators have evacuated: their upstreams get no new requests.
 //!
-//! Load pattern: a zone of a third of the fleet is emptied at full load and taken back, perhaps
-//! twice in a row, while some nodes cannot reach the store, start, or have missed its history. So
-//! each zone's state carries the store's revision that set it, and the newest one wins wherever it
-//! comes from, also a withdrawal, which lies in the store no more.
+//! Load pattern: a zone that holds a third of the fleet is evacuated at full load and restored,
+//! possibly twice in a row, while some nodes cannot reach the store, are starting, or have missed
+//! earlier changes. Each zone's state therefore carries the store revision that set it, and the
+//! newest state wins whatever its source. This includes a withdrawal, which leaves no entry in the
+//! store.
 //!
-//! Revisions of different epochs do not compare: a store that came back from an older copy gives
-//! them out again. A later epoch goes first, and what is merely missing right after such a return
-//! may not have been written again yet, so it stands until operators have had time for that.
+//! Revisions of different epochs cannot be compared, because a store that was restored from an
+//! older copy assigns them again. A later epoch takes precedence. An evacuation that is missing
+//! from the store right after such a restore may not have been written again yet, so it stays in
+//! force until operators have had time to do so.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time after the store's return from an older copy in which operators write again what it lost.
-const WRITTEN_AGAIN_WITHIN: Duration = Duration::from_secs(10);
+/// How long operators have, after the store is restored from an older copy, to write lost
+/// evacuations again.
+const REWRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// When a zone's state was set.
+/// Version of a zone's state: the position in the store's history at which it was set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Stamp {
-    /// Epoch of the store; 0 where it names none.
+    /// Epoch of the store; 0 if the store reports none.
     pub epoch: u64,
     /// Revision of the store within that epoch.
     pub revision: i64,
 }
 
-/// State of one zone.
+/// Evacuation state of one zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Zone {
-    /// Its name.
+    /// Name of the zone.
     pub name: Arc<str>,
-    /// Whether its upstreams are to get nothing new.
+    /// Whether the zone's upstreams get no new requests.
     pub evacuated: bool,
-    /// When this was set.
+    /// Version of this state.
     pub at: Stamp,
 }
 
@@ -40,38 +43,40 @@
 struct State {
     evacuated: bool,
     at: Stamp,
-    /// It was missing in the store after a return, and is withdrawn at this moment unless it is
-    /// written again.
-    missing: Option<(Instant, Stamp)>,
+    /// Set while the evacuation is missing in a store that was restored from an older copy: when it
+    /// is withdrawn unless it is written again, and the stamp of the read that lacked it.
+    pending_withdrawal: Option<(Instant, Stamp)>,
 }
 
-/// The zones that were ever evacuated.
+/// All zones that have ever been evacuated, with their latest state.
 #[derive(Debug, Default)]
 pub struct Register {
     zones: BTreeMap<Arc<str>, State>,
 }
 
 impl Register {
-    /// Takes what another node knows, or a change in the store; true if it changes anything.
+    /// Merges zones received from another node or a change in the store; returns whether a zone was
+    /// added or changed between evacuated and not evacuated.
     pub fn merge(&mut self, zones: impl IntoIterator<Item = Zone>) -> bool {
         let mut changed = false;
         for zone in zones {
-            let known = self.zones.get(&zone.name);
-            if known.is_some_and(|known| known.at >= zone.at) {
+            let existing = self.zones.get(&zone.name);
+            if existing.is_some_and(|existing| existing.at >= zone.at) {
                 continue;
             }
-            changed |= known.is_none_or(|known| known.evacuated != zone.evacuated);
+            changed |= existing.is_none_or(|existing| existing.evacuated != zone.evacuated);
             let state = State {
                 evacuated: zone.evacuated,
                 at: zone.at,
-                missing: None,
+                pending_withdrawal: None,
             };
             self.zones.insert(zone.name, state);
         }
         changed
     }
 
-    /// Takes the evacuations that lie in the store, as read at `at`; true if it changes anything.
+    /// Applies the complete list of evacuations in the store, as read at `at`; returns whether any
+    /// zone changed, as for [`Self::merge`].
     pub fn listed(&mut self, now: Instant, at: Stamp, listed: Vec<Zone>) -> bool {
         let is_listed = |name: &Arc<str>| listed.iter().any(|zone| zone.name == *name);
         let mut withdrawn = Vec::new();
@@ -80,8 +85,8 @@
                 continue;
             }
             if state.at.epoch < at.epoch {
-                let due = now + WRITTEN_AGAIN_WITHIN;
-                state.missing.get_or_insert((due, at));
+                let withdraw_at = now + REWRITE_TIMEOUT;
+                state.pending_withdrawal.get_or_insert((withdraw_at, at));
             } else {
                 withdrawn.push(withdrawal(name, at));
             }
@@ -90,29 +95,30 @@
         self.merge(listed) || changed
     }
 
-    /// Withdraws what was not written again in time; true if it changes anything.
+    /// Withdraws evacuations that were not written again in time; returns whether any zone changed,
+    /// as for [`Self::merge`].
     pub fn tick(&mut self, now: Instant) -> bool {
         let due = self.zones.iter().filter_map(|(name, state)| {
-            let (due, at) = state.missing?;
-            (now >= due).then(|| withdrawal(name, at))
+            let (withdraw_at, at) = state.pending_withdrawal?;
+            (now >= withdraw_at).then(|| withdrawal(name, at))
         });
         let due: Vec<Zone> = due.collect();
         self.merge(due)
     }
 
-    /// Whether the zone's upstreams are to get nothing new.
+    /// Whether the zone's upstreams get no new requests.
     #[must_use]
     pub fn is_evacuated(&self, zone: &str) -> bool {
         self.zones.get(zone).is_some_and(|state| state.evacuated)
     }
 
-    /// Zones whose upstreams are to get nothing new.
+    /// Zones whose upstreams get no new requests.
     pub fn evacuated(&self) -> impl Iterator<Item = &Arc<str>> {
         let evacuated = self.zones.iter().filter(|(_, state)| state.evacuated);
         evacuated.map(|(name, _)| name)
     }
 
-    /// All that is known, for other nodes.
+    /// The latest state of all zones, to be sent to other nodes.
     pub fn zones(&self) -> impl Iterator<Item = Zone> {
         self.zones.iter().map(|(name, state)| Zone {
             name: Arc::clone(name),
