--- a/crates/core/src/preset.rs
+++ b/crates/core/src/preset.rs
@@ -1,40 +1,40 @@
-//! Presets: what operators edit, and the one in force.
+//! Presets, which operators edit, and the preset in force.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Largest share of upstream time that a preset may grant to probes.
-const PROBE_SHARE_MOST: f64 = 0.05;
-/// Share of upstream time that probes may cost unless a preset says otherwise. A question after
-/// the pace costs 6 ms of a slot; with six slots this buys one in 60 ms, several in a slow phase
-/// of some hundred. With fewer, phases go unseen, and work that begins in them holds its slot for
-/// long.
-const PROBE_SHARE: f64 = 0.02;
-/// Largest share of traffic that a preset may grant to second attempts.
-const RETRY_SHARE_MOST: f64 = 0.5;
-/// Largest weight of a client account.
-const WEIGHT_MOST: f64 = 1000.0;
+/// Maximum share of upstream time that a preset may grant to probes.
+const MAX_PROBE_SHARE: f64 = 0.05;
+/// Default share of upstream time that probes may use. A pace probe costs 6 ms of a slot; on an
+/// upstream with six slots this share pays for one probe every 60 ms, which is several during a
+/// slow phase of a few hundred milliseconds. With fewer probes slow phases go undetected, and
+/// requests that start in one occupy their slot for a long time.
+const DEFAULT_PROBE_SHARE: f64 = 0.02;
+/// Maximum share of traffic that a preset may grant to second attempts.
+const MAX_RETRY_SHARE: f64 = 0.5;
+/// Maximum weight of a client account.
+const MAX_WEIGHT: f64 = 1000.0;
 
 /// Contents of a preset.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Preset {
-    /// Share of upstream time that probes may cost, 0 to 0.05.
+    /// Share of upstream time that probes may use, 0 to 0.05.
     pub probe_share: f64,
     /// Second attempts per answered request, 0 to 0.5.
     pub retry_share: f64,
     /// Client accounts with a weight other than 1.
     pub client_accounts: BTreeMap<Arc<str>, ClientAccount>,
-    /// Hosts under maintenance: they finish what they have and get nothing new.
+    /// Hosts under maintenance: they finish their requests in progress and get no new ones.
     pub leaving: BTreeSet<Arc<str>>,
 }
 
 impl Default for Preset {
     fn default() -> Self {
         Self {
-            probe_share: PROBE_SHARE,
+            probe_share: DEFAULT_PROBE_SHARE,
             retry_share: 0.1,
             client_accounts: BTreeMap::new(),
             leaving: BTreeSet::new(),
@@ -42,7 +42,7 @@
     }
 }
 
-/// What a preset grants to one client account.
+/// Settings of a preset for one client account.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClientAccount {
@@ -56,53 +56,53 @@
     }
 }
 
-/// A value that a preset may not hold.
+/// A value of a preset that is out of range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{key}: {found} is outside {allowed}")]
 pub struct Invalid {
-    /// Path of the value.
+    /// Path of the value within the preset.
     pub key: String,
     /// The value found.
     pub found: f64,
-    /// What is allowed.
+    /// The allowed range.
     pub allowed: &'static str,
 }
 
 impl Preset {
-    /// Checks every value.
+    /// Checks that every value is in range.
     ///
     /// # Errors
-    /// The first value out of range.
+    /// Returns the first value that is out of range.
     pub fn check(&self) -> Result<(), Invalid> {
         check_range(
             "probe_share",
             self.probe_share,
             0.0,
-            PROBE_SHARE_MOST,
+            MAX_PROBE_SHARE,
             "0 to 0.05",
         )?;
         check_range(
             "retry_share",
             self.retry_share,
             0.0,
-            RETRY_SHARE_MOST,
+            MAX_RETRY_SHARE,
             "0 to 0.5",
         )?;
         for (name, client_account) in &self.client_accounts {
             let key = format!("client_accounts.{name}.weight");
-            let least = f64::MIN_POSITIVE;
+            let min = f64::MIN_POSITIVE;
             check_range(
                 &key,
                 client_account.weight,
-                least,
-                WEIGHT_MOST,
+                min,
+                MAX_WEIGHT,
                 "above 0 to 1000",
             )?;
         }
         Ok(())
     }
 
-    /// Weight of a client account.
+    /// Weight of a client account; 1 if the preset does not list it.
     #[must_use]
     pub fn weight(&self, client_account: &str) -> f64 {
         self.client_accounts
@@ -114,11 +114,11 @@
 fn check_range(
     key: &str,
     found: f64,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
     allowed: &'static str,
 ) -> Result<(), Invalid> {
-    if (least..=most).contains(&found) {
+    if (min..=max).contains(&found) {
         return Ok(());
     }
     Err(Invalid {
@@ -128,7 +128,7 @@
     })
 }
 
-/// Number of a change of the preset in force; only ever rises.
+/// Number of a change of the preset in force; it only increases.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -143,7 +143,7 @@
     }
 }
 
-/// The preset in force, as it stands in the store and passes between nodes.
+/// The preset in force, as it is stored and exchanged between nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InForce {
@@ -151,13 +151,15 @@
     pub revision: Revision,
     /// Name of the preset.
     pub name: Arc<str>,
-    /// Its contents at the time of the change.
+    /// Contents of the preset at the time of the change.
     pub preset: Preset,
     /// Who changed it.
     pub changed_by: Arc<str>,
-    /// When, in seconds since the Unix epoch, by the changer's clock; for people only.
+    /// Time of the change in seconds since the Unix epoch, by the clock of whoever made it; shown
+    /// to operators only.
     pub changed_at: u64,
-    /// Unique mark of the writer, by which a lost reply is settled.
+    /// Unique mark of the writer; after a lost reply it shows whether the stored change is the
+    /// writer's own.
     pub mark: Arc<str>,
 }
 
@@ -174,18 +176,18 @@
     }
 }
 
-/// What became of a document offered to a register.
+/// Result of offering a document to a [`Register`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offered {
-    /// It is newer and now in force here.
+    /// The document is newer and now in force on this node.
     Taken,
-    /// It is the one in force here.
+    /// The document is already in force on this node.
     Same,
-    /// It is older than the one in force here.
+    /// The document is older than the one in force on this node.
     Older,
-    /// It has the same revision and another writer.
+    /// The document has the revision of the one in force but was written by another writer.
     Conflict,
-    /// A value is out of range; the one in force stays.
+    /// A value of the document is out of range; the document in force stays.
     Invalid,
 }
 
@@ -196,11 +198,11 @@
 }
 
 impl Register {
-    /// Takes a document if it is newer.
+    /// Puts a document in force if it is newer.
     ///
-    /// Failure: a watch that redelivers old events, a peer that was cut off, a store
-    /// that answers from before. Symptom: a preset that was replaced comes back. A
-    /// node takes only higher revisions, wherever they come from, so none can.
+    /// Failure: a watch redelivers old events, a peer was disconnected, or the store returns stale
+    /// data. Symptom: a preset that was replaced comes into force again. A node accepts only higher
+    /// revisions, whatever their source, so this cannot happen.
     pub fn offer(&mut self, offered: InForce) -> Offered {
         if offered.revision < self.current.revision {
             return Offered::Older;
@@ -219,7 +221,7 @@
         Offered::Taken
     }
 
-    /// The preset in force here.
+    /// The preset in force on this node.
     #[must_use]
     pub const fn current(&self) -> &Arc<InForce> {
         &self.current
--- a/crates/core/tests/preset.rs
+++ b/crates/core/tests/preset.rs
@@ -1,4 +1,4 @@
-//! The preset in force: only ever newer, and only with values in range.
+//! The preset in force: it is replaced only by a newer one with all values in range.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,9 +14,8 @@
     }
 }
 
-/// What the operator sees: a change, once in force on a node, is never replaced there by
-/// an older one, whether it comes from a watch that redelivers, a peer that was cut off,
-/// or a store that answers from before.
+/// Guards against an older preset that replaces a newer one on a node, because a watch redelivers
+/// old events, a peer was disconnected, or the store returns stale data.
 #[rstest]
 #[case::newer(6, "b", Offered::Taken, 6)]
 #[case::much_newer(60, "b", Offered::Taken, 60)]
@@ -36,12 +35,12 @@
 }
 
 #[test]
-fn offer_with_a_value_out_of_range_keeps_the_last_good() {
+fn offer_with_a_value_out_of_range_keeps_the_current_preset() {
     let mut register = Register::default();
     register.offer(document(5, "a"));
-    let mut wrong = document(6, "b");
-    wrong.preset.probe_share = 2.0;
-    assert_eq!(register.offer(wrong), Offered::Invalid);
+    let mut invalid = document(6, "b");
+    invalid.preset.probe_share = 2.0;
+    assert_eq!(register.offer(invalid), Offered::Invalid);
     assert_eq!(register.current().revision, Revision(5));
 }
 
