--- a/crates/core/src/configs.rs
+++ b/crates/core/src/configs.rs
@@ -1,6 +1,6 @@
-//! Settings of each module of the core; `Default` documents the defaults.
+//! Settings of the core modules; each `Default` implementation documents the defaults.
 //!
-//! Durations are written with their unit, as in `"500ms"` or `"3s"`.
+//! Durations are written with their unit, such as `"500ms"` or `"3s"`.
 
 pub mod admission;
 pub mod bootstrap;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,25 +1,25 @@
-//! The decisions of mintridge, without input, output, clock or randomness.
+//! The decision logic of mintridge, free of I/O, clocks and sources of randomness.
 //!
-//! Time comes in as an [`std::time::Instant`], randomness as a seed. Each module
-//! owns one decision: events go in through its methods, and what to do next comes
-//! out as a return value or from its `poll`. The same code runs under the node's
-//! threads, under scripted tests and under the policy bench.
+//! Time is passed in as an [`std::time::Instant`] and randomness as a seed. Each module makes one
+//! decision: events are passed to its methods, and the next action is a return value or the result
+//! of its `poll`. The same code runs on the node's threads, in scripted tests and in the policy
+//! benchmark.
 //!
-//! A request meets the modules in this order:
+//! A request passes through the modules in this order:
 //!
 //! | step | module |
 //! |---|---|
-//! | which host? | [`placement`] |
-//! | may it be tried again elsewhere? | [`attempts`], [`retry`] |
-//! | may it run now, or wait, and in which order? | [`admission`] by [`queue`], [`shares`], [`work`], [`pace`], [`limit`] and [`warm_up`], closed by [`gate`] and [`health`] |
-//! | did this key run before? | [`claim`] |
-//! | did upstreams end under it before? | [`screen`], as [`quarantine`] decides by [`fingerprint`] and what was [`answered`] |
-//! | what is the caller told? | [`outcome`] |
+//! | which host gets it? | [`placement`] |
+//! | may it be retried on another host? | [`attempts`], [`retry`] |
+//! | does it run now or wait, and in which order? | [`admission`] with [`queue`], [`shares`], [`work`], [`pace`], [`limit`] and [`warm_up`]; [`gate`] and [`health`] can refuse it |
+//! | was its idempotency key used before? | [`claim`] |
+//! | did upstreams end while they ran it? | [`screen`], from the decisions of [`quarantine`] by [`fingerprint`] and by which requests were [`answered`] |
+//! | what does the caller receive if no upstream answers? | [`outcome`] |
 //!
-//! Beside the path of requests: [`membership`] (who is there), [`preset`] (what is
-//! in force), [`evacuation`] (which zones get nothing), [`bootstrap`] (when a node turns to the store),
-//! [`failover`] (who reads the store when its regular readers do not) and [`probe`] (what
-//! measuring may cost).
+//! Modules outside the request path: [`membership`] (which hosts are present), [`preset`] (the
+//! preset in force), [`evacuation`] (which zones get no new requests), [`bootstrap`] (when a starting
+//! or isolated node reads the store), [`failover`] (which nodes read the store when its regular
+//! readers do not) and [`probe`] (the budget for probes).
 
 pub mod admission;
 pub mod answered;
