--- a/crates/bench/src/policy/fake.rs
+++ b/crates/bench/src/policy/fake.rs
@@ -333,7 +333,7 @@
         let at = &mut self.hosts[host];
         at.running -= 1;
         at.admission
-            .answered(self.now, Id(id as u64), Answer::Served);
+            .record_answer(self.now, Id(id as u64), Answer::Served);
         at.admission.finish(Id(id as u64));
         self.reply(host, id, true);
         self.pump(host);
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -154,22 +154,22 @@
     /// Resets what was learned about the upstream after it restarted. A new instance is cold, so
     /// the pace, service times and limit of the previous one no longer apply. Requests that hold a
     /// slot release it once they are found to be lost.
-    pub fn restarted(&mut self) {
+    pub fn reset_after_restart(&mut self) {
         self.times = Times::new(&self.settings);
         self.limit = Limit::new(&self.settings, self.limit.slots());
         self.pace = Pace::default();
-        self.warm_up.restarted();
+        self.warm_up.reset_after_restart();
     }
 
     /// Returns whether the upstream recently reported the pace of its host.
     #[must_use]
-    pub fn knows_pace(&self, now: Instant) -> bool {
+    pub fn has_recent_pace(&self, now: Instant) -> bool {
         self.pace.is_fresh(&self.settings, now)
     }
 
     /// Returns whether requests are queued until a slow phase ends.
     #[must_use]
-    pub fn is_held(&self, now: Instant) -> bool {
+    pub fn is_waiting_for_slow_phase(&self, now: Instant) -> bool {
         !self.queue.is_empty() && self.pace.slow_percent(&self.settings, now).is_some()
     }
 
@@ -187,7 +187,7 @@
         if self.pace.slow_percent(&self.settings, now).is_some() && arrival.only_in_time {
             return Decision::Refuse(self.refusal(now, Reason::Late));
         }
-        let may_begin = self.pace.beginning(&self.settings, now);
+        let may_begin = self.pace.start_policy(&self.settings, now);
         if self.can_run(now) && self.queue.is_empty() && may_begin(self.expected_time(&arrival)) {
             self.queue.charge(&arrival, weight);
             self.run(now, &arrival);
@@ -207,7 +207,7 @@
             let Some(displaced) = self.queue.displace(&arrival, weight, order) else {
                 return Decision::Refuse(self.refusal(now, Reason::Busy));
             };
-            self.refuse_queued(now, &displaced, Reason::Busy);
+            self.refuse_queued_request(now, &displaced, Reason::Busy);
         }
         if !in_time {
             self.expected_late.insert(arrival.id);
@@ -220,7 +220,7 @@
     ///
     /// The time until the start of the answer counts as the request's service time. The time for
     /// the body depends on how fast the caller reads it.
-    pub fn answered(&mut self, now: Instant, id: Id, answer: Answer) {
+    pub fn record_answer(&mut self, now: Instant, id: Id, answer: Answer) {
         let Some(running) = self.running.get(&id) else {
             return;
         };
@@ -244,12 +244,12 @@
     }
 
     /// Removes a queued request whose caller has gone away.
-    pub fn withdraw(&mut self, id: Id) {
+    pub fn cancel(&mut self, id: Id) {
         self.queue.remove(id);
     }
 
     /// Refuses all queued requests, for example when the upstream becomes doubtful.
-    pub fn refuse_waiting(&mut self, now: Instant, reason: Reason) {
+    pub fn refuse_queued(&mut self, now: Instant, reason: Reason) {
         let refusal = self.refusal(now, reason);
         let actions = &mut self.actions;
         self.queue.retain(
@@ -270,7 +270,7 @@
         }
         let times = &self.times;
         let order = self.order(now);
-        let may_begin = self.pace.beginning(&self.settings, now);
+        let may_begin = self.pace.start_policy(&self.settings, now);
         let arrival = self.queue.pop(
             now,
             order,
@@ -296,9 +296,9 @@
             }
         });
         let earliest = latest_starts.min()?;
-        let slow_until = self.pace.slow_until(&self.settings);
+        let slow_report_expires_at = self.pace.slow_report_expires_at(&self.settings);
         let starts_at = self.warm_up.next_start(now);
-        [Some(earliest), slow_until, starts_at]
+        [Some(earliest), slow_report_expires_at, starts_at]
             .into_iter()
             .flatten()
             .min()
@@ -413,7 +413,7 @@
     }
 
     /// Refuses a request that was queued.
-    fn refuse_queued(&mut self, now: Instant, arrival: &Arrival, reason: Reason) {
+    fn refuse_queued_request(&mut self, now: Instant, arrival: &Arrival, reason: Reason) {
         if !arrival.only_in_time {
             self.shares.record(now, arrival.priority, false);
         }
@@ -437,10 +437,10 @@
         let running = Running {
             started_at: now,
             route: Arc::clone(&arrival.route),
-            slowness_percent: self.pace.beside_usual(&self.settings, now),
+            slowness_percent: self.pace.relative_percent(&self.settings, now),
         };
         self.running.insert(arrival.id, running);
-        self.warm_up.started(now);
+        self.warm_up.record_start(now);
     }
 
     /// Refuses queued requests that can no longer finish by their deadline, at a time when the
@@ -455,7 +455,7 @@
             |arrival| expired.push(arrival.clone()),
         );
         for arrival in expired {
-            self.refuse_queued(now, &arrival, Reason::Deadline);
+            self.refuse_queued_request(now, &arrival, Reason::Deadline);
         }
     }
 
@@ -476,7 +476,7 @@
         late.sort_unstable_by_key(|arrival| (arrival.priority, arrival.deadline, arrival.id));
         for arrival in late.into_iter().skip(max_late) {
             self.queue.remove(arrival.id);
-            self.refuse_queued(now, &arrival, Reason::Late);
+            self.refuse_queued_request(now, &arrival, Reason::Late);
         }
     }
 }
--- a/crates/core/src/evacuation.rs
+++ b/crates/core/src/evacuation.rs
@@ -36,13 +36,13 @@
     /// Whether the zone's upstreams get no new requests.
     pub evacuated: bool,
     /// Version of this state.
-    pub at: Stamp,
+    pub stamp: Stamp,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct State {
     evacuated: bool,
-    at: Stamp,
+    stamp: Stamp,
     /// Set while the evacuation is missing in a store that was restored from an older copy: when it
     /// is withdrawn unless it is written again, and the stamp of the read that lacked it.
     pending_withdrawal: Option<(Instant, Stamp)>,
@@ -61,13 +61,13 @@
         let mut changed = false;
         for zone in zones {
             let existing = self.zones.get(&zone.name);
-            if existing.is_some_and(|existing| existing.at >= zone.at) {
+            if existing.is_some_and(|existing| existing.stamp >= zone.stamp) {
                 continue;
             }
             changed |= existing.is_none_or(|existing| existing.evacuated != zone.evacuated);
             let state = State {
                 evacuated: zone.evacuated,
-                at: zone.at,
+                stamp: zone.stamp,
                 pending_withdrawal: None,
             };
             self.zones.insert(zone.name, state);
@@ -75,20 +75,20 @@
         changed
     }
 
-    /// Applies the complete list of evacuations in the store, as read at `at`; returns whether any
-    /// zone changed, as for [`Self::merge`].
-    pub fn listed(&mut self, now: Instant, at: Stamp, listed: Vec<Zone>) -> bool {
+    /// Applies the complete list of evacuations in the store, as read at `stamp`; returns whether
+    /// any zone changed, as for [`Self::merge`].
+    pub fn apply_listing(&mut self, now: Instant, stamp: Stamp, listed: Vec<Zone>) -> bool {
         let is_listed = |name: &Arc<str>| listed.iter().any(|zone| zone.name == *name);
         let mut withdrawn = Vec::new();
         for (name, state) in &mut self.zones {
-            if !state.evacuated || is_listed(name) || state.at >= at {
+            if !state.evacuated || is_listed(name) || state.stamp >= stamp {
                 continue;
             }
-            if state.at.epoch < at.epoch {
+            if state.stamp.epoch < stamp.epoch {
                 let withdraw_at = now + REWRITE_TIMEOUT;
-                state.pending_withdrawal.get_or_insert((withdraw_at, at));
+                state.pending_withdrawal.get_or_insert((withdraw_at, stamp));
             } else {
-                withdrawn.push(withdrawal(name, at));
+                withdrawn.push(withdrawal(name, stamp));
             }
         }
         let changed = self.merge(withdrawn);
@@ -99,8 +99,8 @@
     /// as for [`Self::merge`].
     pub fn tick(&mut self, now: Instant) -> bool {
         let due = self.zones.iter().filter_map(|(name, state)| {
-            let (withdraw_at, at) = state.pending_withdrawal?;
-            (now >= withdraw_at).then(|| withdrawal(name, at))
+            let (withdraw_at, stamp) = state.pending_withdrawal?;
+            (now >= withdraw_at).then(|| withdrawal(name, stamp))
         });
         let due: Vec<Zone> = due.collect();
         self.merge(due)
@@ -123,15 +123,15 @@
         self.zones.iter().map(|(name, state)| Zone {
             name: Arc::clone(name),
             evacuated: state.evacuated,
-            at: state.at,
+            stamp: state.stamp,
         })
     }
 }
 
-fn withdrawal(name: &Arc<str>, at: Stamp) -> Zone {
+fn withdrawal(name: &Arc<str>, stamp: Stamp) -> Zone {
     Zone {
         name: Arc::clone(name),
         evacuated: false,
-        at,
+        stamp,
     }
 }
--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -57,7 +57,7 @@
 
     /// Records an announcement of the upstream; `draining` is whether it reports that it is
     /// draining.
-    pub fn announced(&mut self, now: Instant, draining: bool) {
+    pub fn record_announcement(&mut self, now: Instant, draining: bool) {
         self.announced_until = Some(now + self.settings.announcement_lapses);
         self.set_drain(now, Cause::Upstream, draining);
     }
@@ -112,7 +112,7 @@
     ///
     /// `asked_at` is when the exchange began. An exchange that began before a pause may lack what
     /// happened during the pause, so it does not open the gate.
-    pub fn refreshed(&mut self, asked_at: Instant) {
+    pub fn record_refresh(&mut self, asked_at: Instant) {
         let Some(pause) = &self.pause else { return };
         if asked_at >= pause.detected_at {
             self.pause = None;
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -39,7 +39,7 @@
 
     /// Resets the health after a restart of the upstream: failures of the previous process say
     /// nothing about the new one.
-    pub const fn restarted(&mut self) {
+    pub const fn reset_after_restart(&mut self) {
         self.state = State::Ready { failures: 0 };
     }
 
@@ -48,7 +48,7 @@
     /// Failure: an upstream that fails fast looks idle. Symptom: it attracts most of the traffic
     /// and fails it. After a few consecutive failures no requests are handed over, and only probes
     /// within their budget reach the upstream.
-    pub fn note(&mut self, now: Instant, verdict: Verdict) {
+    pub fn record(&mut self, now: Instant, verdict: Verdict) {
         match (&mut self.state, verdict) {
             (State::Ready { failures }, Verdict::Answered) => *failures = 0,
             (State::Ready { failures }, Verdict::Failed) => {
@@ -68,7 +68,7 @@
     /// upstream becomes doubtful for all callers. Only a refusal that is faster than real work
     /// could be indicates a fault of the upstream rather than of the request.
     #[must_use]
-    pub fn refused(&self, took: Duration, mean: Duration) -> Option<Verdict> {
+    pub fn judge_refusal(&self, took: Duration, mean: Duration) -> Option<Verdict> {
         let is_fast = took < mean.mul_f64(self.settings.fast_failure);
         is_fast.then_some(Verdict::Failed)
     }
@@ -80,7 +80,7 @@
     /// becomes doubtful for all callers. Only a wait that is long compared with the mean time
     /// indicates a fault of the upstream.
     #[must_use]
-    pub fn silent(&self, waited: Duration, mean: Duration) -> Option<Verdict> {
+    pub fn judge_timeout(&self, waited: Duration, mean: Duration) -> Option<Verdict> {
         let is_overdue = waited >= mean.mul_f64(self.settings.patience);
         is_overdue.then_some(Verdict::Failed)
     }
@@ -101,19 +101,19 @@
     }
 
     /// Records that a probe is being sent.
-    pub fn probing(&mut self) {
+    pub fn record_probe_sent(&mut self) {
         self.state = State::Probing;
     }
 
     /// Postpones the next probe until `at`, unless the upstream is ready.
-    pub fn wait_until(&mut self, at: Instant) {
+    pub fn postpone_probe(&mut self, at: Instant) {
         if !self.is_ready() {
             self.state = State::Doubtful { probe_at: at };
         }
     }
 
     /// Records the result of a probe.
-    pub fn probed(&mut self, now: Instant, verdict: Verdict) {
+    pub fn record_probe_result(&mut self, now: Instant, verdict: Verdict) {
         self.state = match verdict {
             Verdict::Answered => State::Ready { failures: 0 },
             Verdict::Failed => State::Doubtful {
--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -112,7 +112,7 @@
     /// Symptom: the new incarnation looks older than the previous one and would be ignored forever.
     /// Once the previous incarnation has timed out, the node sends it no requests any more, and the
     /// next message is accepted whatever start time it reports.
-    pub fn heard(&mut self, now: Instant, message: Message<'_>) -> Verdict {
+    pub fn record_message(&mut self, now: Instant, message: Message<'_>) -> Verdict {
         if self
             .predecessors
             .iter()
@@ -152,7 +152,7 @@
 
     /// Records that an instance announced its end; its messages are ignored from now on. A later
     /// incarnation with the same id is not affected.
-    pub fn left(&mut self, now: Instant, instance: &Arc<str>, born: Option<u64>) -> Verdict {
+    pub fn record_end(&mut self, now: Instant, instance: &Arc<str>, born: Option<u64>) -> Verdict {
         let message = Message {
             instance,
             born,
@@ -174,7 +174,7 @@
     /// Failure: the first message received of an instance is a late one that arrives after a
     /// message of its successor. Symptom: the successor counts as ended and never becomes current
     /// again. The reply of the process at the upstream's address is authoritative.
-    pub fn found(&mut self, now: Instant, instance: &Arc<str>) {
+    pub fn confirm(&mut self, now: Instant, instance: &Arc<str>) {
         if self.current().is_some_and(|current| current == instance) {
             return;
         }
--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -30,12 +30,12 @@
 /// expected to last.
 #[must_use]
 pub fn slow_penalty(slowness_percent: u32, service: Duration, phase: Duration) -> Duration {
-    slow_loss(slowness_percent, service).min(phase)
+    extra_service_time(slowness_percent, service).min(phase)
 }
 
 /// Extra time that a request takes if it starts on a host that is currently slow.
 #[must_use]
-pub fn slow_loss(slowness_percent: u32, service: Duration) -> Duration {
+pub fn extra_service_time(slowness_percent: u32, service: Duration) -> Duration {
     service.mul_f64(f64::from(slowness_percent.saturating_sub(100)) / 100.0)
 }
 
--- a/crates/core/src/pace.rs
+++ b/crates/core/src/pace.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use crate::configs::admission::Settings;
-use crate::load::{slow_loss, slow_penalty};
+use crate::load::{extra_service_time, slow_penalty};
 
 /// A slow phase that has lasted for more than this many expected phases counts as permanent. Where
 /// each phase continues with a probability of a quarter, one in sixty lasts that long.
@@ -111,27 +111,27 @@
 
     /// Returns how long work takes that starts now, in percent of the host's baseline.
     #[must_use]
-    pub fn beside_usual(&self, settings: &Settings, now: Instant) -> u32 {
+    pub fn relative_percent(&self, settings: &Settings, now: Instant) -> u32 {
         self.slow_percent(settings, now).unwrap_or(DEFAULT_PERCENT)
     }
 
     /// Returns when the report of a slow phase expires, if the last report is one.
     #[must_use]
-    pub fn slow_until(&self, settings: &Settings) -> Option<Instant> {
+    pub fn slow_report_expires_at(&self, settings: &Settings) -> Option<Instant> {
         let latest = self.latest.filter(|latest| latest.slow_since.is_some())?;
         Some(latest.at + settings.slow_phase)
     }
 
     /// Returns a predicate on the time that work needs: true if the work should start now, false if
     /// waiting for the end of the slow phase costs less.
-    pub fn beginning(
+    pub fn start_policy(
         &self,
         settings: &Settings,
         now: Instant,
     ) -> impl Fn(Duration) -> bool + use<> {
-        let percent = self.beside_usual(settings, now);
+        let percent = self.relative_percent(settings, now);
         let phase = settings.slow_phase;
-        move |needed| slow_loss(percent, needed) <= phase
+        move |needed| extra_service_time(percent, needed) <= phase
     }
 
     /// Returns the extra time of work that needs the given time and starts now, or waits for the
@@ -139,7 +139,7 @@
     #[must_use]
     pub fn penalty(&self, settings: &Settings, now: Instant, needed: Duration) -> Duration {
         slow_penalty(
-            self.beside_usual(settings, now),
+            self.relative_percent(settings, now),
             needed,
             settings.slow_phase,
         )
--- a/crates/core/src/probe.rs
+++ b/crates/core/src/probe.rs
@@ -19,7 +19,7 @@
     spent: Duration,
 }
 
-/// Upstream time reserved for one probe; refunded in part by [`Budget::settle`].
+/// Upstream time reserved for one probe; refunded in part by [`Budget::refund`].
 #[derive(Debug)]
 #[must_use = "an unsettled reservation is spent in full"]
 pub struct Reservation {
@@ -76,7 +76,7 @@
     /// Refunds the part of a reservation that a finished probe did not use. Each probe is charged
     /// with at least the minimum cost, since the upstream's work on a probe is not limited to the
     /// time that the prober waits for the answer.
-    pub fn settle(&mut self, reservation: &Reservation, used: Duration) {
+    pub fn refund(&mut self, reservation: &Reservation, used: Duration) {
         let used = used.max(self.settings.cost_least);
         let unused = reservation.reserved.saturating_sub(used);
         self.spent -= unused;
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -31,7 +31,7 @@
 
     /// Takes `lines` from the quota as a whole. Returns `None` if they don't fit, otherwise the
     /// number of lines dropped since the last call that succeeded.
-    pub fn take(&mut self, now: Instant, lines: u32) -> Option<u64> {
+    pub fn try_acquire(&mut self, now: Instant, lines: u32) -> Option<u64> {
         if now >= self.window_ends_at {
             self.window_ends_at = now + WINDOW;
             self.used = 0;
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -52,7 +52,7 @@
     }
 
     /// Adds the tokens for one answered request.
-    pub const fn earn(&mut self) {
+    pub const fn deposit(&mut self) {
         self.tokens = (self.tokens + self.share).min(self.settings.burst);
     }
 
--- a/crates/core/src/warm_up.rs
+++ b/crates/core/src/warm_up.rs
@@ -62,7 +62,7 @@
     }
 
     /// Records how much longer the upstream stays cold, as answered to a check sent at `asked_at`.
-    pub fn answered(&mut self, asked_at: Instant, now: Instant, cold_for: Duration) {
+    pub fn record_check(&mut self, asked_at: Instant, now: Instant, cold_for: Duration) {
         if self.checked_at.is_some_and(|newest| asked_at < newest) {
             return;
         }
@@ -80,7 +80,7 @@
 
     /// Records how much longer the upstream stays cold, as announced by it. An announcement may be
     /// seconds old, so it never proves that the upstream is warm.
-    pub fn announced(&mut self, now: Instant, cold_for: Duration) {
+    pub fn record_announcement(&mut self, now: Instant, cold_for: Duration) {
         if !cold_for.is_zero() {
             let until = now + cold_for;
             self.cold_until = self.cold_until.max(Some(until));
@@ -90,7 +90,7 @@
 
     /// Resets the state after a restart of the upstream; starts in the previous instance do not
     /// count.
-    pub fn restarted(&mut self) {
+    pub fn reset_after_restart(&mut self) {
         self.cold_until = None;
         self.warm_at = None;
         self.starts.clear();
@@ -98,7 +98,7 @@
     }
 
     /// Records that a request starts in the upstream.
-    pub fn started(&mut self, now: Instant) {
+    pub fn record_start(&mut self, now: Instant) {
         if self.rate.is_none() {
             return;
         }
@@ -139,7 +139,7 @@
 
     /// Invalidates the last confirmation that the upstream is warm: a check becomes due, and until
     /// it is answered starts are bounded as if the upstream were cold.
-    pub fn doubt(&mut self) {
+    pub fn invalidate(&mut self) {
         self.warm_at = None;
     }
 
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -154,13 +154,13 @@
 }
 
 #[test]
-fn withdraw_removes_the_request_from_the_queue() {
+fn cancel_removes_the_request_from_the_queue() {
     let now = Instant::now();
     let mut admission = admission(1);
     let late = now + Duration::from_secs(10);
     admission.arrive(now, arrival(0, "a", late), 1.0);
     admission.arrive(now, arrival(1, "a", late), 1.0);
-    admission.withdraw(Id(1));
+    admission.cancel(Id(1));
     admission.finish(Id(0));
     assert_eq!(drain(&mut admission, now), []);
     assert_eq!(admission.report(now).queued, 0);
@@ -173,7 +173,7 @@
     let late = now + Duration::from_mins(10);
     for id in 0..3 {
         admission.arrive(now, arrival(id, "a", late), 1.0);
-        admission.answered(now, Id(id), Answer::Shed);
+        admission.record_answer(now, Id(id), Answer::Shed);
         admission.finish(Id(id));
         now += Duration::from_secs(1);
     }
@@ -181,7 +181,7 @@
     assert!(lowered < 10, "limit {lowered}");
     for id in 10..400 {
         admission.arrive(now, arrival(id, "a", late), 1.0);
-        admission.answered(now + SERVICE_TIME, Id(id), Answer::Served);
+        admission.record_answer(now + SERVICE_TIME, Id(id), Answer::Served);
         admission.finish(Id(id));
         now += SERVICE_TIME;
     }
@@ -189,14 +189,14 @@
 }
 
 #[test]
-fn refuse_waiting_empties_the_queue_as_not_run() {
+fn refuse_queued_empties_the_queue_as_not_run() {
     let now = Instant::now();
     let mut admission = admission(1);
     let late = now + Duration::from_secs(10);
     for id in 0..3 {
         admission.arrive(now, arrival(id, "a", late), 1.0);
     }
-    admission.refuse_waiting(now, Reason::Doubtful);
+    admission.refuse_queued(now, Reason::Doubtful);
     let refused = drain(&mut admission, now);
     assert_eq!(refused.len(), 2);
     let is_not_run =
@@ -231,7 +231,7 @@
     };
     assert_eq!(admitted(&mut admission, 0..20), 9);
     for _ in 0..1_000 {
-        admission.answered(now, Id(0), Answer::Served);
+        admission.record_answer(now, Id(0), Answer::Served);
     }
     assert_eq!(admission.report(now).limit, 9);
 }
@@ -340,7 +340,7 @@
     let decision = admission.arrive(now, with_target(0, deadline, deadline, false), 1.0);
     assert_eq!(decision, Decision::Queue);
     assert_eq!(admission.poll(now), None);
-    assert!(admission.is_held(now));
+    assert!(admission.is_waiting_for_slow_phase(now));
     assert_eq!(admission.wake_at(now), Some(now + SLOW_PHASE));
     let ended = now + Duration::from_millis(40);
     admission.observe_load(ended, &slowness(100));
@@ -374,7 +374,7 @@
 fn arrive_on_a_cold_host(#[case] percent: u32, #[case] expected: Decision) {
     let now = Instant::now();
     let mut admission = on_slow_host(now);
-    admission.restarted();
+    admission.reset_after_restart();
     admission.observe_load(now, &slowness(200));
     admission.observe_load(now, &slowness(percent));
     let deadline = now + Duration::from_secs(10);
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -14,7 +14,7 @@
     Zone {
         name: Arc::from("zone-a"),
         evacuated,
-        at,
+        stamp: at,
     }
 }
 
@@ -58,27 +58,27 @@
 
 /// Guards against a zone that stays evacuated forever on a node that missed the withdrawal.
 #[test]
-fn listed_without_the_zone_withdraws() {
+fn apply_listing_without_the_zone_withdraws() {
     let mut register = register_evacuated_at(stamp(1, 5));
-    assert!(register.listed(Instant::now(), stamp(1, 9), Vec::new()));
+    assert!(register.apply_listing(Instant::now(), stamp(1, 9), Vec::new()));
     assert!(!register.is_evacuated("zone-a"));
 }
 
 /// Guards against a read from before an evacuation that withdraws it.
 #[test]
-fn listed_before_the_evacuation_changes_nothing() {
+fn apply_listing_before_the_evacuation_changes_nothing() {
     let mut register = register_evacuated_at(stamp(1, 5));
-    assert!(!register.listed(Instant::now(), stamp(1, 4), Vec::new()));
+    assert!(!register.apply_listing(Instant::now(), stamp(1, 4), Vec::new()));
     assert!(register.is_evacuated("zone-a"));
 }
 
 /// Guards against an evacuation that is withdrawn because the store lost it and operators have not
 /// written it again yet.
 #[test]
-fn listed_in_a_later_epoch_waits_for_the_operators() {
+fn apply_listing_in_a_later_epoch_waits_for_the_operators() {
     let now = Instant::now();
     let mut register = register_evacuated_at(stamp(1, 5));
-    assert!(!register.listed(now, stamp(2, 3), Vec::new()));
+    assert!(!register.apply_listing(now, stamp(2, 3), Vec::new()));
     register.tick(now + Duration::from_secs(5));
     assert!(register.is_evacuated("zone-a"));
     register.merge([zone(true, stamp(2, 4))]);
@@ -91,7 +91,7 @@
 fn tick_withdraws_what_is_not_written_again() {
     let now = Instant::now();
     let mut register = register_evacuated_at(stamp(1, 5));
-    register.listed(now, stamp(2, 3), Vec::new());
+    register.apply_listing(now, stamp(2, 3), Vec::new());
     assert!(register.tick(now + Duration::from_secs(10)));
     assert!(!register.is_evacuated("zone-a"));
     register.merge([zone(true, stamp(1, 5))]);
--- a/crates/core/tests/gate.rs
+++ b/crates/core/tests/gate.rs
@@ -9,7 +9,7 @@
 
 fn ready(now: Instant) -> Gate {
     let mut gate = Gate::new(Settings::default(), now);
-    gate.announced(now, false);
+    gate.record_announcement(now, false);
     gate
 }
 
@@ -28,7 +28,7 @@
     let now = Instant::now();
     let mut gate = Gate::new(Settings::default(), now);
     assert_eq!(gate.check(now), Some(Reason::Unannounced));
-    gate.announced(now, false);
+    gate.record_announcement(now, false);
     assert_eq!(gate.check(now), None);
 }
 
@@ -41,7 +41,7 @@
 }
 
 #[rstest]
-#[case::upstream(|gate: &mut Gate, now| gate.announced(now, true))]
+#[case::upstream(|gate: &mut Gate, now| gate.record_announcement(now, true))]
 #[case::preset(|gate: &mut Gate, now| gate.set_preset_drain(now, true))]
 #[case::signal(|gate: &mut Gate, now| gate.stop(now))]
 fn check_closes_at_once_when_leaving(#[case] leave: fn(&mut Gate, Instant)) {
@@ -77,16 +77,16 @@
     let mut gate = ready(now);
     let before = run(&mut gate, now, 500);
     let resumed_at = before + Duration::from_mins(1);
-    gate.announced(resumed_at, false);
+    gate.record_announcement(resumed_at, false);
     assert_eq!(gate.check(resumed_at), Some(Reason::Stale));
     assert_eq!(gate.check_hand_over(resumed_at), Some(Reason::Stale));
-    gate.refreshed(before);
+    gate.record_refresh(before);
     assert_eq!(
         gate.check(resumed_at),
         Some(Reason::Stale),
         "an exchange from before the pause does not open the gate"
     );
-    gate.refreshed(resumed_at);
+    gate.record_refresh(resumed_at);
     assert_eq!(gate.check(resumed_at), None);
 }
 
@@ -95,11 +95,11 @@
     let now = Instant::now();
     let mut gate = ready(now);
     let resumed_at = now + Duration::from_mins(1);
-    gate.announced(resumed_at, false);
+    gate.record_announcement(resumed_at, false);
     gate.tick(resumed_at);
     let later = run(&mut gate, resumed_at, 2900);
     assert_eq!(gate.check(later), Some(Reason::Stale));
     let later = run(&mut gate, later, 200);
-    gate.announced(later, false);
+    gate.record_announcement(later, false);
     assert_eq!(gate.check(later), None);
 }
--- a/crates/core/tests/instance.rs
+++ b/crates/core/tests/instance.rs
@@ -27,18 +27,18 @@
         }
     }
 
-    fn heard(&mut self, instance: &str, born: Option<u64>, sequence: u64) -> Verdict {
+    fn record_message(&mut self, instance: &str, born: Option<u64>, sequence: u64) -> Verdict {
         let instance = name(instance);
         let message = Message {
             instance: &instance,
             born,
             sequence,
         };
-        self.register.heard(self.now, message)
+        self.register.record_message(self.now, message)
     }
 
-    fn left(&mut self, instance: &str, born: Option<u64>) -> Verdict {
-        self.register.left(self.now, &name(instance), born)
+    fn record_end(&mut self, instance: &str, born: Option<u64>) -> Verdict {
+        self.register.record_end(self.now, &name(instance), born)
     }
 
     fn advance(&mut self, duration: Duration) -> &mut Self {
@@ -54,16 +54,16 @@
 #[case::late_of_its_own("new", 1, Verdict::Outdated, "new")]
 #[case::in_order("new", 3, Verdict::Current, "new")]
 #[case::successor("newer", 1, Verdict::Started, "newer")]
-fn heard_ignores_late_messages(
+fn record_message_ignores_late_messages(
     #[case] instance: &str,
     #[case] sequence: u64,
     #[case] expected: Verdict,
     #[case] current: &str,
 ) {
     let mut fixture = Fixture::new();
-    fixture.heard("old", None, 8);
-    fixture.heard("new", None, 2);
-    assert_eq!(fixture.heard(instance, None, sequence), expected);
+    fixture.record_message("old", None, 8);
+    fixture.record_message("new", None, 2);
+    assert_eq!(fixture.record_message(instance, None, sequence), expected);
     assert_eq!(fixture.register.current(), Some(&name(current)));
 }
 
@@ -75,18 +75,18 @@
 #[case::first_of_the_new_incarnation(200, 1, Verdict::Started)]
 #[case::late_of_the_previous_incarnation(100, 9, Verdict::Outdated)]
 #[case::late_of_an_earlier_incarnation(50, 99, Verdict::Outdated)]
-fn heard_orders_incarnations_with_one_id(
+fn record_message_orders_incarnations_with_one_id(
     #[case] born: u64,
     #[case] sequence: u64,
     #[case] expected: Verdict,
 ) {
     let mut fixture = Fixture::new();
-    fixture.heard("a", Some(100), 8);
+    fixture.record_message("a", Some(100), 8);
     if born != 200 {
-        fixture.heard("a", Some(200), 1);
+        fixture.record_message("a", Some(200), 1);
     }
-    assert_eq!(fixture.heard("a", Some(born), sequence), expected);
-    assert_eq!(fixture.heard("a", Some(200), 2), Verdict::Current);
+    assert_eq!(fixture.record_message("a", Some(born), sequence), expected);
+    assert_eq!(fixture.record_message("a", Some(200), 2), Verdict::Current);
 }
 
 /// The node itself restarts during a restart of the upstream, and the first message it receives is
@@ -94,21 +94,30 @@
 #[rstest]
 #[case::same_id("a")]
 #[case::other_id("before")]
-fn heard_after_a_restart_of_the_node(#[case] before: &str) {
+fn record_message_after_a_restart_of_the_node(#[case] before: &str) {
     let mut fixture = Fixture::new();
-    assert_eq!(fixture.heard(before, Some(100), 40), Verdict::Started);
-    assert_eq!(fixture.heard("a", Some(200), 1), Verdict::Started);
-    assert_eq!(fixture.heard(before, Some(100), 41), Verdict::Outdated);
+    assert_eq!(
+        fixture.record_message(before, Some(100), 40),
+        Verdict::Started
+    );
+    assert_eq!(fixture.record_message("a", Some(200), 1), Verdict::Started);
+    assert_eq!(
+        fixture.record_message(before, Some(100), 41),
+        Verdict::Outdated
+    );
     assert_eq!(fixture.register.current(), Some(&name("a")));
 }
 
 /// The first message received of an earlier incarnation is a late one that arrives after a message
 /// of its successor. Its start time shows that it is the older incarnation.
 #[test]
-fn heard_ignores_an_unknown_earlier_incarnation() {
+fn record_message_ignores_an_unknown_earlier_incarnation() {
     let mut fixture = Fixture::new();
-    fixture.heard("new", Some(200), 5);
-    assert_eq!(fixture.heard("old", Some(100), 9), Verdict::Outdated);
+    fixture.record_message("new", Some(200), 5);
+    assert_eq!(
+        fixture.record_message("old", Some(100), 9),
+        Verdict::Outdated
+    );
     assert_eq!(fixture.register.current(), Some(&name("new")));
 }
 
@@ -118,70 +127,79 @@
 #[rstest]
 #[case::same_id("a")]
 #[case::other_id("b")]
-fn heard_after_a_clock_was_set_back(#[case] restarted_id: &str) {
+fn record_message_after_a_clock_was_set_back(#[case] restarted_id: &str) {
     let mut fixture = Fixture::new();
-    fixture.heard("a", Some(200), 8);
+    fixture.record_message("a", Some(200), 8);
     fixture.advance(SILENCE_TIMEOUT / 2);
-    assert_eq!(fixture.heard(restarted_id, Some(150), 1), Verdict::Outdated);
+    assert_eq!(
+        fixture.record_message(restarted_id, Some(150), 1),
+        Verdict::Outdated
+    );
     fixture.advance(SILENCE_TIMEOUT);
-    assert_eq!(fixture.heard(restarted_id, Some(150), 2), Verdict::Started);
-    assert_eq!(fixture.heard(restarted_id, Some(150), 3), Verdict::Current);
+    assert_eq!(
+        fixture.record_message(restarted_id, Some(150), 2),
+        Verdict::Started
+    );
+    assert_eq!(
+        fixture.record_message(restarted_id, Some(150), 3),
+        Verdict::Current
+    );
 }
 
 /// A node was paused or disconnected while its upstream restarted twice, and it receives messages
 /// of the last incarnation first.
 #[test]
-fn heard_after_missed_restarts() {
+fn record_message_after_missed_restarts() {
     let mut fixture = Fixture::new();
-    fixture.heard("a", Some(100), 8);
+    fixture.record_message("a", Some(100), 8);
     fixture.advance(SILENCE_TIMEOUT * 3);
-    assert_eq!(fixture.heard("a", Some(300), 4), Verdict::Started);
-    assert_eq!(fixture.heard("a", Some(200), 7), Verdict::Outdated);
+    assert_eq!(fixture.record_message("a", Some(300), 4), Verdict::Started);
+    assert_eq!(fixture.record_message("a", Some(200), 7), Verdict::Outdated);
 }
 
 /// A message of an instance that arrives after the instance announced its end is ignored.
 #[test]
-fn left_is_final() {
+fn record_end_is_final() {
     let mut fixture = Fixture::new();
-    fixture.heard("a", None, 1);
-    assert_eq!(fixture.left("a", None), Verdict::Current);
-    assert_eq!(fixture.heard("a", None, 2), Verdict::Outdated);
+    fixture.record_message("a", None, 1);
+    assert_eq!(fixture.record_end("a", None), Verdict::Current);
+    assert_eq!(fixture.record_message("a", None, 2), Verdict::Outdated);
     assert_eq!(fixture.register.current(), None);
 }
 
 /// An instance announces its end and restarts with the same id. A late end message of the previous
 /// incarnation does not end the current one.
 #[test]
-fn left_ends_only_its_own_incarnation() {
+fn record_end_ends_only_its_own_incarnation() {
     let mut fixture = Fixture::new();
-    fixture.heard("a", Some(100), 8);
-    assert_eq!(fixture.left("a", Some(100)), Verdict::Current);
-    assert_eq!(fixture.heard("a", Some(100), 9), Verdict::Outdated);
-    assert_eq!(fixture.heard("a", Some(200), 1), Verdict::Started);
-    assert_eq!(fixture.left("a", Some(100)), Verdict::Outdated);
-    assert_eq!(fixture.heard("a", Some(200), 2), Verdict::Current);
+    fixture.record_message("a", Some(100), 8);
+    assert_eq!(fixture.record_end("a", Some(100)), Verdict::Current);
+    assert_eq!(fixture.record_message("a", Some(100), 9), Verdict::Outdated);
+    assert_eq!(fixture.record_message("a", Some(200), 1), Verdict::Started);
+    assert_eq!(fixture.record_end("a", Some(100)), Verdict::Outdated);
+    assert_eq!(fixture.record_message("a", Some(200), 2), Verdict::Current);
 }
 
 /// An end message without a start time applies to messages that arrive soon after it. It does not
 /// apply to an incarnation that starts when late messages can no longer arrive.
 #[test]
-fn left_without_a_start_time_expires() {
+fn record_end_without_a_start_time_expires() {
     let mut fixture = Fixture::new();
-    fixture.left("a", None);
-    assert_eq!(fixture.heard("a", Some(100), 9), Verdict::Outdated);
+    fixture.record_end("a", None);
+    assert_eq!(fixture.record_message("a", Some(100), 9), Verdict::Outdated);
     fixture.advance(SILENCE_TIMEOUT);
-    assert_eq!(fixture.heard("a", Some(200), 1), Verdict::Started);
+    assert_eq!(fixture.record_message("a", Some(200), 1), Verdict::Started);
 }
 
 /// After a restart of the node, a late message of a crashed upstream is the first one received of
 /// it and arrives after a message of its successor. The reply of the upstream itself corrects this.
 #[test]
-fn found_restores_the_instance_at_the_address() {
+fn confirm_restores_the_instance_at_the_address() {
     let mut fixture = Fixture::new();
-    fixture.heard("new", None, 5);
-    fixture.heard("old", None, 9);
-    fixture.register.found(fixture.now, &name("new"));
+    fixture.record_message("new", None, 5);
+    fixture.record_message("old", None, 9);
+    fixture.register.confirm(fixture.now, &name("new"));
     assert_eq!(fixture.register.current(), Some(&name("new")));
-    assert_eq!(fixture.heard("new", None, 6), Verdict::Current);
-    assert_eq!(fixture.heard("old", None, 10), Verdict::Outdated);
+    assert_eq!(fixture.record_message("new", None, 6), Verdict::Current);
+    assert_eq!(fixture.record_message("old", None, 10), Verdict::Outdated);
 }
--- a/crates/core/tests/measuring.rs
+++ b/crates/core/tests/measuring.rs
@@ -33,7 +33,7 @@
         match budget.reserve(now) {
             Ok(reservation) => {
                 now += cost;
-                budget.settle(&reservation, cost);
+                budget.refund(&reservation, cost);
                 probes += 1;
             }
             Err(at) => now = at.expect("the share is above zero").max(now),
@@ -64,7 +64,7 @@
     for milli in 0..60_000 {
         let now = started_at + Duration::from_millis(milli);
         if let Ok(reservation) = budget.reserve(now) {
-            budget.settle(&reservation, Duration::from_millis(1));
+            budget.refund(&reservation, Duration::from_millis(1));
             checks += 1;
         }
     }
@@ -79,7 +79,7 @@
     let mut budget = Budget::new(settings(), SHARE, now);
     budget.set_slots(now, 0);
     let first = budget.reserve(now).expect("the first probe is available");
-    budget.settle(&first, TIMEOUT);
+    budget.refund(&first, TIMEOUT);
     let later = now + Duration::from_hours(1);
     assert_eq!(budget.reserve(later).err(), Some(None));
 }
@@ -89,7 +89,7 @@
     let now = Instant::now();
     let mut budget = Budget::new(settings(), 0.0, now);
     let first = budget.reserve(now).expect("the first probe is available");
-    budget.settle(&first, TIMEOUT);
+    budget.refund(&first, TIMEOUT);
     assert_eq!(
         budget.reserve(now + Duration::from_hours(1)).err(),
         Some(None)
@@ -97,33 +97,33 @@
 }
 
 #[test]
-fn note_requests_no_probe_while_the_upstream_answers() {
+fn record_requests_no_probe_while_the_upstream_answers() {
     let now = Instant::now();
     let mut health = Health::new(configs::health::Settings::default());
     for _ in 0..100 {
-        health.note(now, Verdict::Answered);
-        health.note(now, Verdict::Failed);
-        health.note(now, Verdict::Failed);
-        health.note(now, Verdict::Answered);
+        health.record(now, Verdict::Answered);
+        health.record(now, Verdict::Failed);
+        health.record(now, Verdict::Failed);
+        health.record(now, Verdict::Answered);
     }
     assert!(health.is_ready());
     assert_eq!(health.probe_at(), None);
 }
 
 #[test]
-fn note_consecutive_failures_make_doubtful_until_a_probe_answers() {
+fn record_consecutive_failures_make_doubtful_until_a_probe_answers() {
     let now = Instant::now();
     let mut health = Health::new(configs::health::Settings::default());
     for _ in 0..3 {
-        health.note(now, Verdict::Failed);
+        health.record(now, Verdict::Failed);
     }
     assert!(!health.is_ready());
     assert_eq!(health.probe_at(), Some(now));
-    health.probing();
+    health.record_probe_sent();
     assert_eq!(health.probe_at(), None, "one probe at a time");
-    health.probed(now, Verdict::Failed);
+    health.record_probe_result(now, Verdict::Failed);
     assert!(health.probe_at() > Some(now));
-    health.probing();
-    health.probed(now, Verdict::Answered);
+    health.record_probe_sent();
+    health.record_probe_result(now, Verdict::Answered);
     assert!(health.is_ready());
 }
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -226,7 +226,7 @@
             .collect();
         for id in done {
             let attempt = self.attempts.remove(&id).expect("it ran");
-            self.admission.answered(now, id, Answer::Served);
+            self.admission.record_answer(now, id, Answer::Served);
             self.admission.finish(id);
             let stats = self.stats.entry(attempt.kind.route).or_default();
             if now <= attempt.first_arrived_at + attempt.kind.target {
@@ -334,7 +334,7 @@
         };
         admission.arrive(now, arrival(id, now, route, 1_500), 1.0);
         now += Duration::from_millis(service_time);
-        admission.answered(now, Id(id), Answer::Served);
+        admission.record_answer(now, Id(id), Answer::Served);
         admission.finish(Id(id));
     }
     report_slowness(&mut admission, now, 400);
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -105,7 +105,7 @@
     let mut budget = Budget::new(Settings::default(), 0.1);
     let mut retries = 0;
     for _ in 0..10_000 {
-        budget.earn();
+        budget.deposit();
         if budget.may_retry(now, deadline, 1, Progress::NotHandedOver, true) {
             retries += 1;
         }
--- a/crates/core/tests/slow_phases.rs
+++ b/crates/core/tests/slow_phases.rs
@@ -72,7 +72,7 @@
     fn check(&mut self, now: Instant, checks: Checks) {
         let granted = match checks {
             Checks::Never => false,
-            Checks::WithinBudget(_) => !self.admission.knows_pace(now) && self.reserve(now),
+            Checks::WithinBudget(_) => !self.admission.has_recent_pace(now) && self.reserve(now),
             Checks::Always => true,
         };
         if granted {
@@ -85,7 +85,7 @@
         let Ok(reservation) = self.budget.reserve(now) else {
             return false;
         };
-        self.budget.settle(&reservation, CHECK_COST);
+        self.budget.refund(&reservation, CHECK_COST);
         true
     }
 }
@@ -156,7 +156,7 @@
             let load = host.load();
             host.admission.observe_load(now, &load);
         }
-        host.admission.answered(now, id, Answer::Served);
+        host.admission.record_answer(now, id, Answer::Served);
         host.admission.finish(id);
         let arrived_at = host
             .arrived_at
--- a/crates/core/tests/warm_up.rs
+++ b/crates/core/tests/warm_up.rs
@@ -48,14 +48,14 @@
     let mut now = from;
     while now < until {
         if let Some(at) = asked_at.filter(|at| now >= *at + CHECK_LATENCY) {
-            warm_up.answered(at, now, cold_for(at));
+            warm_up.record_check(at, now, cold_for(at));
             asked_at = None;
         }
         if asked_at.is_none() && warm_up.is_check_due(now) {
             asked_at = Some(now);
         }
         if warm_up.next_start(now).is_none() {
-            warm_up.started(now);
+            warm_up.record_start(now);
             starts.push(now);
         }
         now += MILLI;
@@ -65,10 +65,10 @@
 
 /// Guards against a cold upstream getting more than it sustains in a second that spans two windows.
 #[test]
-fn started_cold_from_the_start() {
+fn record_start_cold_from_the_start() {
     let t0 = Instant::now();
     let mut warm_up = WarmUp::new(settings(), t0);
-    warm_up.announced(t0, COLD_FOR);
+    warm_up.record_announcement(t0, COLD_FOR);
     let until = t0 + COLD_FOR;
     let starts = run(&mut warm_up, t0, until, |now| {
         until.saturating_duration_since(now)
@@ -83,7 +83,7 @@
 
 /// Guards against overloading an upstream that turns cold under full load without announcing it.
 #[rstest]
-fn started_turned_cold_unannounced(#[values(0, 3, 17, 250, 800)] at_millis: u64) {
+fn record_start_turned_cold_unannounced(#[values(0, 3, 17, 250, 800)] at_millis: u64) {
     let t0 = Instant::now();
     let mut warm_up = WarmUp::new(settings(), t0);
     let cold_at = t0 + 2 * SECOND + Duration::from_millis(at_millis);
@@ -105,7 +105,7 @@
 
 /// Guards against overloading an upstream that turns cold a second time right after the first.
 #[test]
-fn started_two_cold_phases_in_a_row() {
+fn record_start_two_cold_phases_in_a_row() {
     let t0 = Instant::now();
     let mut warm_up = WarmUp::new(settings(), t0);
     let cold_phases = [t0 + SECOND, t0 + 5 * SECOND];
@@ -130,7 +130,7 @@
 /// Guards against a node that is killed and restarted within a second: it has lost the count of the
 /// requests that it started before.
 #[rstest]
-fn started_node_restarts(
+fn record_start_node_restarts(
     #[values(1, 120, 350, 700, 999)] killed_after: u64,
     #[values(1, 90, 400)] restarted_after: u64,
     #[values(1.0, 1.5)] rate_factor: f64,
@@ -144,7 +144,7 @@
     let t0 = started_at + SECOND;
     let cold_until = t0 + 10 * SECOND;
     let cold_for = |now: Instant| cold_until.saturating_duration_since(now);
-    before.announced(t0, COLD_FOR);
+    before.record_announcement(t0, COLD_FOR);
     let killed_at = t0 + Duration::from_millis(killed_after);
     let mut starts = run(&mut before, t0, killed_at, cold_for);
     let restarted_at = killed_at + Duration::from_millis(restarted_after);
@@ -164,12 +164,12 @@
 
 /// Guards against a late announcement, or a late answer to an older check, ending a warm-up.
 #[test]
-fn answered_out_of_order() {
+fn record_check_out_of_order() {
     let t0 = Instant::now();
     let mut warm_up = WarmUp::new(settings(), t0);
-    warm_up.answered(t0 + 10 * MILLI, t0 + 12 * MILLI, COLD_FOR);
-    warm_up.answered(t0, t0 + 20 * MILLI, Duration::ZERO);
-    warm_up.announced(t0 + 30 * MILLI, Duration::ZERO);
+    warm_up.record_check(t0 + 10 * MILLI, t0 + 12 * MILLI, COLD_FOR);
+    warm_up.record_check(t0, t0 + 20 * MILLI, Duration::ZERO);
+    warm_up.record_announcement(t0 + 30 * MILLI, Duration::ZERO);
     assert!(warm_up.is_cold(t0 + 40 * MILLI));
 }
 
@@ -178,8 +178,8 @@
 fn next_start_without_a_rate() {
     let t0 = Instant::now();
     let mut warm_up = WarmUp::new(Settings::default(), t0);
-    warm_up.announced(t0, COLD_FOR);
-    (0..1000).for_each(|_| warm_up.started(t0));
+    warm_up.record_announcement(t0, COLD_FOR);
+    (0..1000).for_each(|_| warm_up.record_start(t0));
     assert_eq!(warm_up.next_start(t0), None);
     assert!(!warm_up.is_check_due(t0));
 }
@@ -229,9 +229,11 @@
     fn start(&mut self, now: Instant) {
         self.cold_until = now + COLD_FOR;
         self.starts.clear();
-        self.admission.restarted();
+        self.admission.reset_after_restart();
         if self.bounded {
-            self.admission.warm_up_mut().announced(now, COLD_FOR);
+            self.admission
+                .warm_up_mut()
+                .record_announcement(now, COLD_FOR);
         }
     }
 
@@ -284,13 +286,13 @@
         if self.bounded && now >= self.cold_until && self.admission.warm_up().is_check_due(now) {
             self.admission
                 .warm_up_mut()
-                .answered(now, now, Duration::ZERO);
+                .record_check(now, now, Duration::ZERO);
         }
         let is_done = |(at, _): &(Instant, Id)| *at <= now;
         let done: Vec<(Instant, Id)> = self.running.iter().copied().filter(is_done).collect();
         self.running.retain(|running| !is_done(running));
         for (_, id) in done {
-            self.admission.answered(now, id, Answer::Served);
+            self.admission.record_answer(now, id, Answer::Served);
             self.admission.finish(id);
             self.served.push(now);
         }
--- a/crates/node/src/control/codec.rs
+++ b/crates/node/src/control/codec.rs
@@ -370,8 +370,8 @@
         let mut written = to.reborrow().get(index);
         written.set_zone(&*zone.name);
         written.set_evacuated(zone.evacuated);
-        written.set_epoch(zone.at.epoch);
-        written.set_revision(zone.at.revision);
+        written.set_epoch(zone.stamp.epoch);
+        written.set_revision(zone.stamp.revision);
     }
 }
 
@@ -382,7 +382,7 @@
         Ok(Zone {
             name: read_text(zone.get_zone()?)?,
             evacuated: zone.get_evacuated(),
-            at: Stamp {
+            stamp: Stamp {
                 epoch: zone.get_epoch(),
                 revision: zone.get_revision(),
             },
--- a/crates/node/src/control/evacuations.rs
+++ b/crates/node/src/control/evacuations.rs
@@ -21,7 +21,9 @@
     let zones = items.iter().filter_map(|item| written(control, item));
     let zones: Vec<Zone> = zones.collect();
     let at = stamp(control, revision);
-    change(control, "store", |register| register.listed(now, at, zones));
+    change(control, "store", |register| {
+        register.apply_listing(now, at, zones)
+    });
 }
 
 /// Takes a change in the store, if it is one of an evacuation.
@@ -48,7 +50,7 @@
     Some(Zone {
         name: Arc::from(name),
         evacuated,
-        at: stamp(control, revision),
+        stamp: stamp(control, revision),
     })
 }
 
--- a/crates/node/src/entry/forward.rs
+++ b/crates/node/src/entry/forward.rs
@@ -213,7 +213,7 @@
     /// Passes the upstream's answer on, as it comes.
     fn pass_on(&self, response: Response<Incoming>, placed: Placed, sent: Sent) -> Response<Body> {
         if placed.ending == Ending::Answered {
-            self.with_budget(&sent.request.head.service, retry::Budget::earn);
+            self.with_budget(&sent.request.head.service, retry::Budget::deposit);
         }
         let (mut parts, body) = response.into_parts();
         headers::strip_hop_by_hop(&mut parts.headers);
--- a/crates/node/src/guard.rs
+++ b/crates/node/src/guard.rs
@@ -322,7 +322,7 @@
         state.gate.set_preset_drain(now, leaving);
         // The upstream may have turned cold while its zone was empty.
         if state.gate.is_evacuated() && !evacuated {
-            state.admission.warm_up_mut().doubt();
+            state.admission.warm_up_mut().invalidate();
             self.warm_up_due.notify_one();
         }
         state.gate.set_evacuated(now, evacuated);
--- a/crates/node/src/guard/follow.rs
+++ b/crates/node/src/guard/follow.rs
@@ -58,7 +58,7 @@
             sequence: announcement.sequence,
         };
         let again = state.instance.current() == Some(&announcement.instance);
-        match state.instance.heard(now, message) {
+        match state.instance.record_message(now, message) {
             instance::Verdict::Outdated => {
                 log::info!(
                     instance = &*announcement.instance,
@@ -83,12 +83,12 @@
         }
         state
             .gate
-            .announced(now, announcement.state == Announced::Draining);
+            .record_announcement(now, announcement.state == Announced::Draining);
         state.admission.set_slots(announcement.slots.max(1));
         state
             .admission
             .warm_up_mut()
-            .announced(now, announcement.cold_for);
+            .record_announcement(now, announcement.cold_for);
         self.warm_up_due.notify_one();
         let other_slots = announcement.slots.saturating_sub(1);
         state.pace_budget.set_slots(now, other_slots);
@@ -99,8 +99,8 @@
     /// requests in it are lost.
     pub(super) fn restarted(&self, state: &mut State) {
         self.ended_before_start(state);
-        state.admission.restarted();
-        state.health.restarted();
+        state.admission.reset_after_restart();
+        state.health.reset_after_restart();
         self.upstream.restarted();
     }
 
@@ -124,7 +124,7 @@
     fn left(&self, instance: &Arc<str>, born: Option<u64>) {
         let now = Instant::now();
         let mut state = self.state.lock();
-        let verdict = state.instance.left(now, instance, born);
+        let verdict = state.instance.record_end(now, instance, born);
         log::info!(
             instance = &**instance,
             born:? = born,
@@ -132,7 +132,7 @@
             "upstream says goodbye"
         );
         if verdict == instance::Verdict::Current {
-            state.gate.announced(now, true);
+            state.gate.record_announcement(now, true);
         }
     }
 }
@@ -179,7 +179,7 @@
         let asked_at = *refreshed.borrow_and_update();
         let view = Arc::clone(&guard.context.latest.view.borrow());
         guard.apply_view(&view);
-        guard.state.lock().gate.refreshed(asked_at);
+        guard.state.lock().gate.record_refresh(asked_at);
     }
 }
 
--- a/crates/node/src/guard/hand_over.rs
+++ b/crates/node/src/guard/hand_over.rs
@@ -147,7 +147,9 @@
             upstream::Error::Restarted { .. } => None,
             upstream::Error::NoConnectionInTime | upstream::Error::Unanswered => {
                 let state = self.state.lock();
-                state.health.silent(waited, state.admission.service_time())
+                state
+                    .health
+                    .judge_timeout(waited, state.admission.service_time())
             }
             _ => Some(Verdict::Failed),
         };
@@ -182,7 +184,7 @@
         let full = load.is_none_or(|load| load.running + load.waiting >= load.slots);
         let mut state = self.state.lock();
         if full {
-            state.admission.answered(now, id, Answer::Shed);
+            state.admission.record_answer(now, id, Answer::Shed);
         }
         state.admission.refusal(now, Reason::Shed)
     }
@@ -192,7 +194,7 @@
         let mut state = self.state.lock();
         let expected = state.instance.current().cloned();
         if let Some(found) = found {
-            state.instance.found(now, found);
+            state.instance.confirm(now, found);
         }
         self.restarted(&mut state);
         state.announcement = None;
@@ -216,9 +218,9 @@
             let mut state = self.state.lock();
             let mean = state.admission.service_time();
             let begun = if shed { Answer::Shed } else { Answer::Served };
-            state.admission.answered(now, id, begun);
+            state.admission.record_answer(now, id, begun);
             if refused {
-                state.health.refused(took, mean)
+                state.health.judge_refusal(took, mean)
             } else {
                 Some(Verdict::Answered)
             }
@@ -231,10 +233,10 @@
         let Some(verdict) = verdict else { return };
         let mut state = self.state.lock();
         let was_ready = state.health.is_ready();
-        state.health.note(now, verdict);
+        state.health.record(now, verdict);
         if was_ready && !state.health.is_ready() {
             log::warn!("upstream is doubtful");
-            state.admission.refuse_waiting(now, Reason::Doubtful);
+            state.admission.refuse_queued(now, Reason::Doubtful);
             drop(state);
             self.queued.notify_one();
             self.pump();
--- a/crates/node/src/guard/pace.rs
+++ b/crates/node/src/guard/pace.rs
@@ -53,7 +53,7 @@
         .state
         .lock()
         .pace_budget
-        .settle(&reservation, now - began);
+        .refund(&reservation, now - began);
     guard.context.metrics.pace_asked();
     match answered {
         Ok(Ok(parts)) => {
@@ -74,7 +74,11 @@
 /// Asks again and again while requests wait for the end of a slow phase.
 pub async fn while_held(guard: Arc<Guard>) {
     loop {
-        let held = guard.state.lock().admission.is_held(Instant::now());
+        let held = guard
+            .state
+            .lock()
+            .admission
+            .is_waiting_for_slow_phase(Instant::now());
         if held {
             refresh(&guard).await;
             guard.pump();
@@ -86,7 +90,7 @@
 }
 
 fn is_known(guard: &Guard) -> bool {
-    guard.state.lock().admission.knows_pace(Instant::now())
+    guard.state.lock().admission.has_recent_pace(Instant::now())
 }
 
 fn reserve(guard: &Guard, now: Instant) -> Option<(Announcement, Reservation)> {
--- a/crates/node/src/guard/probing.rs
+++ b/crates/node/src/guard/probing.rs
@@ -41,24 +41,26 @@
     let ended = Instant::now();
     guard.context.metrics.probe(verdict);
     let mut state = guard.state.lock();
-    state.budget.settle(&reservation, ended - began);
-    state.health.probed(ended, verdict);
+    state.budget.refund(&reservation, ended - began);
+    state.health.record_probe_result(ended, verdict);
 }
 
 /// Takes the cost of one probe out of the budget, or waits for it to be there.
 fn reserve(guard: &Guard, now: Instant) -> Option<(Announcement, Reservation)> {
     let mut state = guard.state.lock();
     let Some(announcement) = state.announcement.clone() else {
-        state.health.wait_until(now + TICK);
+        state.health.postpone_probe(now + TICK);
         return None;
     };
     match state.budget.reserve(now) {
         Ok(reservation) => {
-            state.health.probing();
+            state.health.record_probe_sent();
             Some((announcement, reservation))
         }
         Err(at) => {
-            state.health.wait_until(at.unwrap_or(now + NO_BUDGET_AGAIN));
+            state
+                .health
+                .postpone_probe(at.unwrap_or(now + NO_BUDGET_AGAIN));
             None
         }
     }
--- a/crates/node/src/guard/slot.rs
+++ b/crates/node/src/guard/slot.rs
@@ -40,7 +40,7 @@
         }
         let mut state = self.guard.state.lock();
         state.waiters.remove(&self.id);
-        state.admission.withdraw(self.id);
+        state.admission.cancel(self.id);
         state.admission.finish(self.id);
         drop(state);
         self.guard.pump();
--- a/crates/node/src/guard/warm_up.rs
+++ b/crates/node/src/guard/warm_up.rs
@@ -69,7 +69,7 @@
         let cold_for = self.upstream.cold_for(&parts.headers).unwrap_or_default();
         let was_cold = state.admission.warm_up().is_cold(now);
         let warm_up = state.admission.warm_up_mut();
-        warm_up.answered(asked_at, now, cold_for);
+        warm_up.record_check(asked_at, now, cold_for);
         let is_cold = warm_up.is_cold(now);
         drop(state);
         if is_cold && !was_cold {
--- a/crates/node/src/request_log.rs
+++ b/crates/node/src/request_log.rs
@@ -45,7 +45,7 @@
     /// Whether so many lines may be written now.
     pub fn admits(&self, lines: usize) -> bool {
         let lines = u32::try_from(lines).unwrap_or(u32::MAX);
-        let Some(dropped) = self.quota.lock().take(Instant::now(), lines) else {
+        let Some(dropped) = self.quota.lock().try_acquire(Instant::now(), lines) else {
             return false;
         };
         if dropped > 0 {
