--- a/crates/bench/src/policy/fake.rs
+++ b/crates/bench/src/policy/fake.rs
@@ -391,7 +391,9 @@
             (false, true) => Ending::Avoid,
             (false, false) => Ending::Full,
         };
-        entry.placement.reported(self.now, SERVICE, &name, report);
+        entry
+            .placement
+            .record_report(self.now, SERVICE, &name, report);
         if self.choose.is_none() {
             entry.placement.finish(self.now, SERVICE, &name, ending);
         }
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -44,27 +44,27 @@
 
     /// Returns the number of upstreams that received the request, or may have.
     #[must_use]
-    pub const fn handed(&self) -> u32 {
+    pub const fn handovers(&self) -> u32 {
         self.handovers
     }
 
     /// Records that a host is asked; returns whether it must refuse the request if it could only
     /// answer late.
-    pub fn asks(&mut self, settings: &Settings, host: &Arc<str>) -> bool {
+    pub fn record_placement(&mut self, settings: &Settings, host: &Arc<str>) -> bool {
         self.tried.push(Arc::clone(host));
         self.placements += 1;
         self.placements < settings.placements
     }
 
     /// Records that the upstream of the last host asked received the request, or may have.
-    pub const fn was_handed(&mut self) {
+    pub const fn record_handover(&mut self) {
         self.handovers += 1;
     }
 
     /// Records that the last host asked refused before its upstream received anything; returns
     /// whether another may be asked. `has_untried` returns whether there is a host besides those
     /// given.
-    pub fn refused(
+    pub fn record_refusal(
         &mut self,
         settings: &Settings,
         now: Instant,
@@ -73,7 +73,7 @@
         has_untried: impl Fn(&[Arc<str>]) -> bool,
     ) -> bool {
         let may_continue = self.placements < settings.placements && now < due.deadline;
-        if !may_continue || !refusal.reason.is_local() {
+        if !may_continue || !refusal.reason.is_host_specific() {
             return false;
         }
         if refusal.reason == Reason::Late {
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -131,7 +131,7 @@
 
     /// Returns whether the reason concerns one host only, so that another may accept the request.
     #[must_use]
-    pub const fn is_local(self) -> bool {
+    pub const fn is_host_specific(self) -> bool {
         matches!(
             self,
             Self::Busy
@@ -184,7 +184,7 @@
     /// Returns whether the request never reached an upstream, so that placing it on another host
     /// repeats no work.
     #[must_use]
-    pub const fn spared_upstreams(&self) -> bool {
+    pub const fn never_reached_upstream(&self) -> bool {
         let reached = matches!(self.reason, Reason::Shed | Reason::Misdirected);
         matches!(self.outcome, Outcome::NotRun) && !reached
     }
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -48,7 +48,7 @@
     /// The host refused for another reason, or the link broke: it is avoided for a while.
     Avoid,
     /// The attempt was abandoned before it ended, which says nothing about the host.
-    GivenUp,
+    Abandoned,
 }
 
 /// Candidates of each service, with their last reported load and this node's own requests.
@@ -173,13 +173,13 @@
         candidate.outstanding = candidate.outstanding.saturating_sub(1);
         match ending {
             Ending::Answered => candidate.avoid_until = None,
-            Ending::Full | Ending::GivenUp => {}
+            Ending::Full | Ending::Abandoned => {}
             Ending::Avoid => candidate.avoid_until = Some(avoid_until),
         }
     }
 
     /// Records a load report; requests beyond this node's own are attributed to other nodes.
-    pub fn reported(&mut self, now: Instant, service: &str, host: &str, report: Report) {
+    pub fn record_report(&mut self, now: Instant, service: &str, host: &str, report: Report) {
         let Some(candidate) = self.candidate(service, host) else {
             return;
         };
@@ -192,7 +192,7 @@
 
     /// Returns the last load report of an upstream and when it arrived, for logs.
     #[must_use]
-    pub fn known(&self, service: &str, host: &str) -> Option<(Report, Instant)> {
+    pub fn last_report(&self, service: &str, host: &str) -> Option<(Report, Instant)> {
         let mut candidates = self.services.get(service)?.iter();
         let candidate = candidates.find(|candidate| candidate.upstream.host.as_ref() == host)?;
         Some((candidate.report, candidate.reported_at))
@@ -200,7 +200,7 @@
 
     /// Returns the candidates of each service with their last load report and the number of this
     /// node's requests in progress there, for operators.
-    pub fn view(&self) -> impl Iterator<Item = (&Upstream, &Report, u32)> {
+    pub fn candidates(&self) -> impl Iterator<Item = (&Upstream, &Report, u32)> {
         self.services.values().flatten().map(|candidate| {
             (
                 &candidate.upstream,
--- a/crates/core/src/preset.rs
+++ b/crates/core/src/preset.rs
@@ -180,7 +180,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offered {
     /// The document is newer and now in force on this node.
-    Taken,
+    Accepted,
     /// The document is already in force on this node.
     Same,
     /// The document is older than the one in force on this node.
@@ -218,7 +218,7 @@
             return Offered::Invalid;
         }
         self.current = Arc::new(offered);
-        Offered::Taken
+        Offered::Accepted
     }
 
     /// The preset in force on this node.
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -42,7 +42,7 @@
 /// A service and its weight in a traffic split.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Part {
+pub struct Destination {
     /// Name of the service.
     pub service: Arc<str>,
     /// Share of the requests, relative to the other weights of the split.
@@ -60,7 +60,7 @@
     /// Whether a request may run more than once.
     pub kind: Kind,
     /// Services among which the requests are split.
-    pub parts: Vec<Part>,
+    pub parts: Vec<Destination>,
     /// Maximum time that a caller waits for the response.
     #[serde(with = "humantime_serde")]
     pub timeout: Duration,
--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -37,14 +37,14 @@
             .iter()
             .find(|host| !attempts.tried().iter().any(|tried| **tried == ***host));
         let host = untried.expect("a host is untried");
-        let only_in_time = attempts.asks(&settings(), &Arc::from(*host));
+        let only_in_time = attempts.record_placement(&settings(), &Arc::from(*host));
         asked.push((*host, only_in_time));
         let refusal = Refusal::not_run(*reason, now);
         let has_untried = |tried: &[Arc<str>]| {
             let mut all = HOSTS[..hosts].iter();
             all.any(|host| !tried.iter().any(|tried| **tried == **host))
         };
-        if !attempts.refused(&settings(), now, due(deadline), &refusal, has_untried) {
+        if !attempts.record_refusal(&settings(), now, due(deadline), &refusal, has_untried) {
             break;
         }
     }
@@ -59,7 +59,7 @@
 #[case::full(4, &[Reason::Busy; 5], &[("a", true), ("b", true), ("c", false)])]
 #[case::late_then_leaving(2, &[Reason::Late, Reason::Leaving, Reason::Late], &[("a", true), ("b", true), ("a", false)])]
 #[case::refused_everywhere(4, &[Reason::BadRequest], &[("a", true)])]
-fn refused_continues_while_another_host_may_answer(
+fn record_refusal_continues_while_another_host_may_answer(
     #[case] hosts: usize,
     #[case] reasons: &[Reason],
     #[case] expected: &[(&str, bool)],
@@ -68,27 +68,27 @@
 }
 
 #[test]
-fn refused_stops_at_the_deadline() {
+fn record_refusal_stops_at_the_deadline() {
     let now = Instant::now();
     let mut attempts = Attempts::default();
-    attempts.asks(&settings(), &Arc::from("a"));
+    attempts.record_placement(&settings(), &Arc::from("a"));
     let refusal = Refusal::not_run(Reason::Busy, now);
-    assert!(!attempts.refused(&settings(), now, due(now), &refusal, |_| true));
+    assert!(!attempts.record_refusal(&settings(), now, due(now), &refusal, |_| true));
 }
 
 /// A request waits at a host until its target has passed and is then refused as late. No host can
 /// be in time any more, so the next one asked is the last and may answer late.
 #[test]
-fn refused_allows_one_more_host_after_the_target() {
+fn record_refusal_allows_one_more_host_after_the_target() {
     let now = Instant::now();
     let mut attempts = Attempts::default();
-    assert!(attempts.asks(&settings(), &Arc::from("a")));
+    assert!(attempts.record_placement(&settings(), &Arc::from("a")));
     let refusal = Refusal::not_run(Reason::Late, now);
     let passed = Due {
         target: now,
         deadline: now + Duration::from_secs(1),
     };
-    assert!(attempts.refused(&settings(), now, passed, &refusal, |_| true));
-    assert!(!attempts.asks(&settings(), &Arc::from("b")));
-    assert!(!attempts.refused(&settings(), now, passed, &refusal, |_| true));
+    assert!(attempts.record_refusal(&settings(), now, passed, &refusal, |_| true));
+    assert!(!attempts.record_placement(&settings(), &Arc::from("b")));
+    assert!(!attempts.record_refusal(&settings(), now, passed, &refusal, |_| true));
 }
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -68,8 +68,8 @@
 fn pick_prefers_the_less_loaded_by_report() {
     let now = Instant::now();
     let mut placement = placement(now, 2);
-    placement.reported(now, SERVICE, "host-0", report(12, 10));
-    placement.reported(now, SERVICE, "host-1", report(2, 0));
+    placement.record_report(now, SERVICE, "host-0", report(12, 10));
+    placement.record_report(now, SERVICE, "host-1", report(2, 0));
     let spread = picks(&mut placement, now, 8);
     assert_eq!(spread.get("host-1"), Some(&8));
 }
@@ -134,7 +134,7 @@
 fn update_keeps_reports_of_remaining_hosts() {
     let now = Instant::now();
     let mut placement = placement(now, 2);
-    placement.reported(now, SERVICE, "host-0", report(12, 20));
+    placement.record_report(now, SERVICE, "host-0", report(12, 20));
     let upstreams: Vec<Upstream> = (0..2).map(upstream).collect();
     placement.update(now, &upstreams);
     let spread = picks(&mut placement, now, 5);
@@ -154,7 +154,7 @@
             service_micros: 100_000,
             ..report(0, 0)
         };
-        placement.reported(now, SERVICE, host, report);
+        placement.record_report(now, SERVICE, host, report);
     }
     let share = |placement: &mut Placement, at: Instant| {
         let picks: Vec<Arc<str>> = (0..30)
@@ -186,14 +186,14 @@
         ..report(0, 0)
     };
     for index in 0..4 {
-        placement.reported(now, SERVICE, &format!("host-{index}"), fast);
+        placement.record_report(now, SERVICE, &format!("host-{index}"), fast);
     }
     let later = now + Duration::from_secs(3);
     let fast = Report {
         in_flight: 2,
         ..fast
     };
-    placement.reported(later, SERVICE, "host-2", fast);
+    placement.record_report(later, SERVICE, "host-2", fast);
     let chosen = placement
         .pick(later, SERVICE, &[])
         .expect("a host is untried");
@@ -210,12 +210,12 @@
         slowness_percent: 400,
         ..report(0, 0)
     };
-    placement.reported(now, SERVICE, "host-1", slow);
+    placement.record_report(now, SERVICE, "host-1", slow);
     let fast = Report {
         slowness_percent: 100,
         ..slow
     };
-    placement.reported(now, SERVICE, "host-0", fast);
+    placement.record_report(now, SERVICE, "host-0", fast);
     let chosen = placement
         .pick(now, SERVICE, &[])
         .expect("a host is untried");
@@ -264,10 +264,10 @@
     for millis in (500..2_000).step_by(20) {
         let at = now + Duration::from_millis(millis);
         for host in ["host-0", "host-1"] {
-            placement.reported(at, SERVICE, host, report(1, 0));
+            placement.record_report(at, SERVICE, host, report(1, 0));
         }
         let host = placement.pick(at, SERVICE, &[]).expect("a host is untried");
-        placement.finish(at, SERVICE, &host, Ending::GivenUp);
+        placement.finish(at, SERVICE, &host, Ending::Abandoned);
         picked += u32::from(&*host == "host-2");
     }
     assert!(picked > 0);
@@ -299,7 +299,7 @@
             } else {
                 report(3, 0)
             };
-            placement.reported(now, SERVICE, &upstream.host, report);
+            placement.record_report(now, SERVICE, &upstream.host, report);
         }
         let tried = excluded(&upstreams);
         let host = placement
--- a/crates/core/tests/preset.rs
+++ b/crates/core/tests/preset.rs
@@ -17,8 +17,8 @@
 /// Guards against an older preset that replaces a newer one on a node, because a watch redelivers
 /// old events, a peer was disconnected, or the store returns stale data.
 #[rstest]
-#[case::newer(6, "b", Offered::Taken, 6)]
-#[case::much_newer(60, "b", Offered::Taken, 60)]
+#[case::newer(6, "b", Offered::Accepted, 6)]
+#[case::much_newer(60, "b", Offered::Accepted, 60)]
 #[case::older(4, "b", Offered::Older, 5)]
 #[case::same(5, "a", Offered::Same, 5)]
 #[case::other_writer(5, "b", Offered::Conflict, 5)]
--- a/crates/core/tests/route.rs
+++ b/crates/core/tests/route.rs
@@ -4,11 +4,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use mintridge_core::route::{Document, Kind, Offered, Part, Register, Route, Table, Version};
+use mintridge_core::route::{
+    Destination, Document, Kind, Offered, Register, Route, Table, Version,
+};
 use rstest::rstest;
 
 fn route(prefix: &str, parts: &[(&str, u32)]) -> Route {
-    let part = |(service, weight): &(&str, u32)| Part {
+    let part = |(service, weight): &(&str, u32)| Destination {
         service: Arc::from(*service),
         weight: *weight,
     };
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -206,7 +206,7 @@
         let revision = document.revision.0;
         let offered = self.state.borrow_mut().register.offer(document);
         match offered {
-            Offered::Taken => {
+            Offered::Accepted => {
                 log::info!(revision = revision, by = &*by; "preset in force");
                 self.publish();
                 self.updates_due.notify_one();
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -136,7 +136,7 @@
 async fn receive_reports(entry: Arc<Entry>) {
     reports::receive(&entry.context, |datagram, report| {
         let mut placement = entry.placement.lock();
-        placement.reported(Instant::now(), &datagram.service, &datagram.host, report);
+        placement.record_report(Instant::now(), &datagram.service, &datagram.host, report);
     })
     .await;
 }
@@ -337,7 +337,7 @@
     fn seen(&self) -> Vec<Seen> {
         let placement = self.placement.lock();
         placement
-            .view()
+            .candidates()
             .map(|(upstream, report, outstanding)| Seen {
                 host: Arc::clone(&upstream.host),
                 service: Arc::clone(&upstream.service),
--- a/crates/node/src/entry/attempt.rs
+++ b/crates/node/src/entry/attempt.rs
@@ -183,7 +183,7 @@
     let claimed = headers::take_claimed(fields);
     if let Some(report) = headers::take_load(fields) {
         let mut placement = entry.placement.lock();
-        placement.reported(now, &placed.service, &placed.host, report);
+        placement.record_report(now, &placed.service, &placed.host, report);
     }
     let Some(refusal) = refusal else {
         return Attempt::Answered(response);
--- a/crates/node/src/entry/forward.rs
+++ b/crates/node/src/entry/forward.rs
@@ -80,7 +80,7 @@
     ) -> Verdict {
         match attempted {
             Attempt::Answered(response) => {
-                forwarding.attempts.was_handed();
+                forwarding.attempts.record_handover();
                 if !self.is_failure(&response) {
                     placed.ending = Ending::Answered;
                     return Verdict::PassOn(Box::new((response, placed)));
@@ -106,11 +106,11 @@
                 }
                 let again = if forwarding.sent.only_on.is_some() {
                     false
-                } else if refusal.spared_upstreams() {
+                } else if refusal.never_reached_upstream() {
                     self.may_ask_another(forwarding, &refusal)
                 } else {
-                    forwarding.attempts.was_handed();
-                    let elsewhere = may_have_run || refusal.reason.is_local();
+                    forwarding.attempts.record_handover();
+                    let elsewhere = may_have_run || refusal.reason.is_host_specific();
                     elsewhere && self.may_retry(forwarding, progress)
                 };
                 if again {
@@ -142,17 +142,17 @@
             Some(_) => return None,
             None => placement.pick(now, service, forwarding.attempts.tried())?,
         };
-        let known = placement.known(service, &host)?;
+        let last_report = placement.last_report(service, &host)?;
         drop(placement);
         let retry = &self.context.live().retry;
-        let only_in_time = forwarding.attempts.asks(retry, &host);
+        let only_in_time = forwarding.attempts.record_placement(retry, &host);
         Some(Placed {
             entry: Arc::clone(self),
             service: Arc::clone(service),
             host,
-            ending: Ending::GivenUp,
+            ending: Ending::Abandoned,
             only_in_time,
-            known,
+            last_report,
             begun_at: now,
         })
     }
@@ -168,7 +168,7 @@
             target: head.target,
             deadline: head.deadline,
         };
-        attempts.refused(settings, now, due, refusal, others)
+        attempts.record_refusal(settings, now, due, refusal, others)
     }
 
     /// Whether another host may be tried; an answer in hand is not given up for none.
@@ -182,7 +182,7 @@
         {
             return false;
         }
-        if forwarding.attempts.handed() >= request.attempts {
+        if forwarding.attempts.handovers() >= request.attempts {
             return false;
         }
         let deadline = request.head.deadline;
@@ -190,7 +190,7 @@
             budget.may_retry(
                 Instant::now(),
                 deadline,
-                forwarding.attempts.handed(),
+                forwarding.attempts.handovers(),
                 progress,
                 request.head.repeatable,
             )
--- a/crates/node/src/entry/placed.rs
+++ b/crates/node/src/entry/placed.rs
@@ -22,7 +22,7 @@
     /// Whether the host is to refuse it if it would miss its target there.
     pub only_in_time: bool,
     /// What was known of its upstream when it was chosen, and since when.
-    pub known: (Report, Instant),
+    pub last_report: (Report, Instant),
     /// When the attempt was begun.
     pub begun_at: Instant,
 }
@@ -30,7 +30,7 @@
 impl Placed {
     /// What logs tell of the attempt.
     pub fn attempt(&self, outcome: &'static str) -> request_log::Attempt {
-        let (report, reported_at) = self.known;
+        let (report, reported_at) = self.last_report;
         request_log::Attempt {
             host: Arc::clone(&self.host),
             report,
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use mintridge_bench::caller::{Call, Told};
 use mintridge_bench::load::{self, Plan as Load};
 use mintridge_core::preset::Preset;
-use mintridge_core::route::{Kind, Part, Route, Table, Version};
+use mintridge_core::route::{Destination, Kind, Route, Table, Version};
 use mintridge_node::operators::Status;
 use mintridge_standin::relay::Relay;
 use mintridge_standin::scene::loopback;
@@ -90,7 +90,7 @@
         name: Arc::from(prefix),
         prefix: Arc::from(prefix),
         kind: Kind::Idempotent,
-        parts: vec![Part {
+        parts: vec![Destination {
             service: Arc::from("service"),
             weight: 1,
         }],
