--- a/crates/core/src/answered.rs
+++ b/crates/core/src/answered.rs
@@ -20,7 +20,7 @@
 
 impl Answered {
     /// Records an answer and returns the number of answers stored for the request.
-    pub fn note(&mut self, fingerprint: Fingerprint) -> u32 {
+    pub fn record(&mut self, fingerprint: Fingerprint) -> u32 {
         if let Some(count) = self.counts.get_mut(&fingerprint) {
             *count = count.saturating_add(1);
             return *count;
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -13,7 +13,7 @@
 /// Maximum number of body bytes that are digested: as many as are sent to the node beside the
 /// upstream before the request has a slot there. Longer bodies that share these first bytes count
 /// as equal if path and client account are the same.
-pub const BODY_MOST: usize = 16 * 1024;
+pub const MAX_BODY_BYTES: usize = 16 * 1024;
 
 /// Identifies a request by its contents: retries of one request have the same fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -65,8 +65,8 @@
     }
 
     /// Adds the next part of the body.
-    pub fn take(&mut self, data: &[u8]) {
-        let remaining = BODY_MOST - self.digested;
+    pub fn update(&mut self, data: &[u8]) {
+        let remaining = MAX_BODY_BYTES - self.digested;
         let prefix = &data[..data.len().min(remaining)];
         self.hasher.write(prefix);
         self.digested += prefix.len();
@@ -76,14 +76,15 @@
     }
 
     /// Marks the end of the body.
-    pub const fn end(&mut self) {
+    pub const fn finish(&mut self) {
         self.is_complete = true;
     }
 
-    /// Returns the digest once the body has ended or its first [`BODY_MOST`] bytes have arrived.
+    /// Returns the digest once the body has ended or its first [`MAX_BODY_BYTES`] bytes have
+    /// arrived.
     #[must_use]
     pub fn digest(&self) -> Option<u64> {
-        let enough = self.is_complete || self.digested == BODY_MOST;
+        let enough = self.is_complete || self.digested == MAX_BODY_BYTES;
         enough.then(|| self.hasher.finish())
     }
 }
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -5,7 +5,7 @@
 //! under a new id each time. Placed like any other request, it takes down the upstreams of a
 //! service one after the other, those that restarted first.
 //!
-//! The evidence is an [`End`]: an upstream crashed while certain requests were in progress. Only
+//! The evidence is a [`Crash`]: an upstream crashed while certain requests were in progress. Only
 //! the node beside that upstream observes it, so nodes gossip crashes, and sets of crashes merge in
 //! any order. The culprit is found by comparison: a request with at least [`ends_least`] crashes
 //! that no other request explains better is quarantined; the other requests of the same crashes
@@ -43,7 +43,7 @@
 
 /// A crash of an upstream while a request was in progress there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct End {
+pub struct Crash {
     /// Identifier of the crash, unique across the fleet.
     pub id: u64,
     /// Digest of the service whose upstream crashed.
@@ -59,11 +59,11 @@
     pub fingerprint: Fingerprint,
     /// Crashes during which the request was in progress, in order of their ids. If the request had
     /// been answered before a crash, a second, cleared entry records that.
-    pub ends: Vec<End>,
+    pub crashes: Vec<Crash>,
     /// Number of times that the request was tried while in quarantine.
     pub trials: u32,
     /// Time at which the evidence expires.
-    pub forgotten_at: Instant,
+    pub expires_at: Instant,
 }
 
 /// Quarantine state that another node reported in an exchange.
@@ -72,14 +72,14 @@
     /// Digest of the requests that the node has in quarantine.
     pub digest: u64,
     /// Requests that the node sent evidence about.
-    pub named: Vec<Fingerprint>,
+    pub fingerprints: Vec<Fingerprint>,
 }
 
 /// Event observed by the node beside an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The upstream crashed: it ended without a planned stop.
-    Ended {
+    Crashed {
         /// Service of the upstream.
         service: Arc<str>,
         /// Requests in progress at the time.
@@ -121,16 +121,16 @@
 
 #[derive(Debug)]
 struct Entry {
-    crashes: BTreeMap<u64, End>,
+    crashes: BTreeMap<u64, Crash>,
     trials: u32,
     /// Time from which the request may be tried; `None` if it is not in quarantine.
     trial_at: Option<Instant>,
-    forgotten_at: Instant,
+    expires_at: Instant,
     gossip_until: Instant,
 }
 
 impl Entry {
-    fn uncleared_crashes(&self) -> impl Iterator<Item = &End> {
+    fn uncleared_crashes(&self) -> impl Iterator<Item = &Crash> {
         self.crashes.values().filter(|crash| !crash.cleared)
     }
 
@@ -154,9 +154,9 @@
     }
 
     /// Records an event observed at this node's upstream.
-    pub fn seen(&mut self, now: Instant, event: Event) -> Change {
+    pub fn record(&mut self, now: Instant, event: Event) -> Change {
         match event {
-            Event::Ended {
+            Event::Crashed {
                 service,
                 in_progress,
             } => self.record_crash(now, &service, &in_progress),
@@ -172,7 +172,7 @@
     pub fn merge(&mut self, now: Instant, suspects: Vec<Suspect>) -> Change {
         let mut change = Change::None;
         for suspect in suspects {
-            if suspect.forgotten_at > now {
+            if suspect.expires_at > now {
                 change = change.max(self.merge_one(now, suspect));
             }
         }
@@ -180,9 +180,9 @@
     }
 
     /// Removes expired evidence.
-    pub fn tick(&mut self, now: Instant) -> Change {
+    pub fn expire(&mut self, now: Instant) -> Change {
         let before = self.suspects.len();
-        self.suspects.retain(|_, entry| entry.forgotten_at > now);
+        self.suspects.retain(|_, entry| entry.expires_at > now);
         if self.suspects.len() == before {
             return Change::None;
         }
@@ -196,7 +196,7 @@
     #[must_use]
     pub fn updates_for(&self, now: Instant, peer: Option<&Peer>) -> Vec<Suspect> {
         let differing = peer.filter(|peer| peer.digest != self.digest());
-        let peer_suspects = differing.map_or(&[][..], |peer| &peer.named);
+        let peer_suspects = differing.map_or(&[][..], |peer| &peer.fingerprints);
         self.select(|fingerprint, entry| {
             let catch_up = differing.is_some() && entry.trial_at.is_some();
             catch_up || now < entry.gossip_until || peer_suspects.contains(fingerprint)
@@ -205,7 +205,7 @@
 
     /// Returns the requests in quarantine.
     #[must_use]
-    pub fn held(&self) -> Vec<Suspect> {
+    pub fn quarantined(&self) -> Vec<Suspect> {
         self.select(|_, entry| entry.trial_at.is_some())
     }
 
@@ -226,9 +226,9 @@
         let selected = selected.filter(|(fingerprint, entry)| predicate(fingerprint, entry));
         let suspects = selected.map(|(fingerprint, entry)| Suspect {
             fingerprint: *fingerprint,
-            ends: entry.crashes.values().copied().collect(),
+            crashes: entry.crashes.values().copied().collect(),
             trials: entry.trials,
-            forgotten_at: entry.forgotten_at,
+            expires_at: entry.expires_at,
         });
         suspects.collect()
     }
@@ -256,17 +256,17 @@
 
     fn record_crash(&mut self, now: Instant, service: &str, in_progress: &[Fingerprint]) -> Change {
         self.crash_count += 1;
-        let crash = End {
+        let crash = Crash {
             id: digest_of((self.node_id, self.crash_count)),
             service: digest_of(service),
             cleared: false,
         };
-        let answered_before = End {
+        let answered_before = Crash {
             id: digest_of((crash.id, "answered before")),
             cleared: true,
             ..crash
         };
-        let forgotten_at = now + self.settings.remember_for;
+        let expires_at = now + self.settings.remember_for;
         let mut change = Change::None;
         for fingerprint in in_progress {
             let mut crashes = vec![crash];
@@ -275,9 +275,9 @@
             }
             let suspect = Suspect {
                 fingerprint: *fingerprint,
-                ends: crashes,
+                crashes,
                 trials: 0,
-                forgotten_at,
+                expires_at,
             };
             change = change.max(self.merge_one(now, suspect));
         }
@@ -287,7 +287,7 @@
     /// Clears a request of the crashes of the answering service only: another service that gets a
     /// share of the same traffic may well be able to run the request.
     fn record_answer(&mut self, now: Instant, service: &str, fingerprint: Fingerprint) -> Change {
-        self.answered.note(fingerprint);
+        self.answered.record(fingerprint);
         let service = digest_of(service);
         let head_only = Fingerprint {
             body: None,
@@ -318,7 +318,7 @@
         };
         entry.trials += 1;
         entry.trial_at = None;
-        entry.forgotten_at = now + remember_for;
+        entry.expires_at = now + remember_for;
         entry.gossip_until = now + GOSSIP_WINDOW;
         self.reevaluate(now, Change::Urgent)
     }
@@ -329,17 +329,17 @@
             crashes: BTreeMap::new(),
             trials: 0,
             trial_at: None,
-            forgotten_at: suspect.forgotten_at,
+            expires_at: suspect.expires_at,
             gossip_until: now,
         };
         let entry = self.suspects.entry(suspect.fingerprint);
         let entry = entry.or_insert_with(new_entry);
         let before = entry.crashes.clone();
-        for crash in suspect.ends {
+        for crash in suspect.crashes {
             let own = entry.crashes.entry(crash.id).or_insert(crash);
             own.cleared |= crash.cleared;
         }
-        let is_new = |crash: &End| !crash.cleared && !before.contains_key(&crash.id);
+        let is_new = |crash: &Crash| !crash.cleared && !before.contains_key(&crash.id);
         let has_new_crash = entry.crashes.values().any(is_new);
         while entry.crashes.len() > MAX_CRASHES_PER_REQUEST {
             entry.crashes.pop_last();
@@ -349,7 +349,7 @@
             entry.trials = suspect.trials;
             entry.trial_at = None;
         }
-        entry.forgotten_at = entry.forgotten_at.max(suspect.forgotten_at);
+        entry.expires_at = entry.expires_at.max(suspect.expires_at);
         if !has_new_trial && entry.crashes == before {
             return Change::None;
         }
--- a/crates/core/src/screen.rs
+++ b/crates/core/src/screen.rs
@@ -27,9 +27,9 @@
     /// The request is not in quarantine.
     Pass,
     /// The head matches a quarantined request, and the body, not read yet, decides.
-    BodyDecides,
+    NeedsBody,
     /// The request is in quarantine, and no trial is due before this time.
-    Hold(Instant),
+    Quarantined(Instant),
     /// The request is in quarantine, and one node may try it now.
     Trial,
 }
@@ -59,14 +59,14 @@
 
     /// Returns whether the request is a suspect, so that an answer to it may clear it.
     #[must_use]
-    pub fn suspects(&self, fingerprint: Fingerprint) -> bool {
+    pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
         let mut entry = self.by_head.get(&fingerprint.head).into_iter().flatten();
         entry.any(|entry| entry.body.is_none() || entry.body == fingerprint.body)
     }
 
     /// Decides whether the request passes, is refused or may be tried.
     #[must_use]
-    pub fn judge(&self, now: Instant, fingerprint: Fingerprint) -> Verdict {
+    pub fn check(&self, now: Instant, fingerprint: Fingerprint) -> Verdict {
         let mut verdict = Verdict::Pass;
         for entry in self.by_head.get(&fingerprint.head).into_iter().flatten() {
             let Some(trial_at) = entry.trial_at else {
@@ -74,13 +74,13 @@
             };
             if entry.body.is_none() || entry.body == fingerprint.body {
                 return if now < trial_at {
-                    Verdict::Hold(trial_at)
+                    Verdict::Quarantined(trial_at)
                 } else {
                     Verdict::Trial
                 };
             }
             if fingerprint.body.is_none() {
-                verdict = Verdict::BodyDecides;
+                verdict = Verdict::NeedsBody;
             }
         }
         verdict
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -24,7 +24,7 @@
 }
 
 fn crashed(in_progress: &[Fingerprint]) -> Event {
-    Event::Ended {
+    Event::Crashed {
         service: Arc::from("service"),
         in_progress: in_progress.to_vec(),
     }
@@ -58,8 +58,8 @@
 
 fn is_quarantined(node: &Quarantine, now: Instant, fingerprint: Fingerprint) -> bool {
     !matches!(
-        node.screen().judge(now, fingerprint),
-        Verdict::Pass | Verdict::BodyDecides
+        node.screen().check(now, fingerprint),
+        Verdict::Pass | Verdict::NeedsBody
     )
 }
 
@@ -72,7 +72,7 @@
     let now = Instant::now();
     let mut nodes: Vec<Quarantine> = (0..4).map(node).collect();
     for (index, quarantined) in [(0, false), (1, false), (2, true)] {
-        nodes[index].seen(now, crashed(&[request(7)]));
+        nodes[index].record(now, crashed(&[request(7)]));
         converge(now, &mut nodes);
         for node in &nodes {
             assert_eq!(
@@ -92,7 +92,7 @@
     let now = Instant::now();
     let mut node = node(0);
     for _ in 0..3 {
-        assert_eq!(node.seen(now, crashed(&[request(7)])), Change::Urgent);
+        assert_eq!(node.record(now, crashed(&[request(7)])), Change::Urgent);
     }
     assert!(is_quarantined(&node, now, request(7)));
 }
@@ -111,7 +111,7 @@
             in_progress.push(common);
         }
         in_progress.extend((0..4).map(|other| request(10 + 4 * n + other)));
-        node.seen(now, crashed(&in_progress));
+        node.record(now, crashed(&in_progress));
     }
     assert!(is_quarantined(&node, now, culprit));
     assert!(!is_quarantined(&node, now, common));
@@ -125,10 +125,10 @@
     let mut node = node(0);
     let (culprit, common) = (request(1), request(2));
     for _ in 0..20 {
-        node.seen(now, answered("service", common));
+        node.record(now, answered("service", common));
     }
     for _ in 0..3 {
-        node.seen(now, crashed(&[culprit, common]));
+        node.record(now, crashed(&[culprit, common]));
     }
     assert!(is_quarantined(&node, now, culprit));
     assert!(!is_quarantined(&node, now, common));
@@ -142,10 +142,10 @@
     let mut node = node(0);
     let culprit = request(1);
     for _ in 0..20 {
-        node.seen(now, answered("service", culprit));
+        node.record(now, answered("service", culprit));
     }
     for n in 0..3 {
-        node.seen(now, crashed(&[culprit, request(10 + n)]));
+        node.record(now, crashed(&[culprit, request(10 + n)]));
     }
     assert!(is_quarantined(&node, now, culprit));
 }
@@ -157,11 +157,11 @@
     let now = Instant::now();
     let mut node = node(0);
     let (culprit, slow) = (request(1), request(2));
-    node.seen(now, answered("service", culprit));
+    node.record(now, answered("service", culprit));
     for _ in 0..3 {
-        node.seen(now, crashed(&[culprit, slow]));
+        node.record(now, crashed(&[culprit, slow]));
     }
-    node.seen(now, crashed(&[culprit]));
+    node.record(now, crashed(&[culprit]));
     assert!(is_quarantined(&node, now, culprit));
     assert!(!is_quarantined(&node, now, slow));
 }
@@ -174,8 +174,8 @@
     let mut nodes: Vec<Quarantine> = (0..4).map(node).collect();
     let (culprit, common) = (request(1), request(2));
     for node in &mut nodes[..3] {
-        node.seen(now, answered("service", common));
-        node.seen(now, crashed(&[culprit, common]));
+        node.record(now, answered("service", common));
+        node.record(now, crashed(&[culprit, common]));
     }
     converge(now, &mut nodes);
     for node in &nodes {
@@ -191,8 +191,8 @@
     let now = Instant::now();
     let mut node = node(0);
     for n in 0..3 {
-        node.seen(now, crashed(&[request(1), request(20 + n)]));
-        node.seen(now, crashed(&[request(2), request(30 + n)]));
+        node.record(now, crashed(&[request(1), request(20 + n)]));
+        node.record(now, crashed(&[request(2), request(30 + n)]));
     }
     assert!(is_quarantined(&node, now, request(1)) && is_quarantined(&node, now, request(2)));
 }
@@ -208,12 +208,12 @@
     let mut nodes: Vec<Quarantine> = (0..5).map(node).collect();
     for index in 0..crashes {
         let index = usize::try_from(index).expect("small");
-        nodes[index].seen(now, crashed(&[request(7)]));
+        nodes[index].record(now, crashed(&[request(7)]));
     }
     converge(now, &mut nodes);
-    nodes[4].seen(now, answered("service", request(7)));
+    nodes[4].record(now, answered("service", request(7)));
     converge(now, &mut nodes);
-    nodes[3].seen(now, crashed(&[request(7)]));
+    nodes[3].record(now, crashed(&[request(7)]));
     converge(now, &mut nodes);
     for node in &nodes {
         assert!(!is_quarantined(node, now, request(7)));
@@ -227,8 +227,8 @@
     let now = Instant::now();
     let mut node = node(0);
     for _ in 0..3 {
-        node.seen(now, crashed(&[request(7)]));
-        node.seen(now, answered("other", request(7)));
+        node.record(now, crashed(&[request(7)]));
+        node.record(now, answered("other", request(7)));
     }
     assert!(is_quarantined(&node, now, request(7)));
 }
@@ -240,11 +240,11 @@
     let now = Instant::now();
     let mut nodes: Vec<Quarantine> = (0..3).map(node).collect();
     for _ in 0..3 {
-        nodes[0].seen(now, crashed(&[request(7)]));
+        nodes[0].record(now, crashed(&[request(7)]));
     }
     let outdated = nodes[0].updates_for(now, None);
     nodes[1].merge(now, outdated.clone());
-    nodes[1].seen(now, answered("service", request(7)));
+    nodes[1].record(now, answered("service", request(7)));
     assert_eq!(nodes[1].merge(now, outdated.clone()), Change::None);
     assert!(!is_quarantined(&nodes[1], now, request(7)));
     let updates = nodes[1].updates_for(now, None);
@@ -261,13 +261,13 @@
     let began_at = Instant::now();
     let mut nodes: Vec<Quarantine> = (0..2).map(node).collect();
     for _ in 0..3 {
-        nodes[0].seen(began_at, crashed(&[request(1)]));
-        nodes[1].seen(began_at, crashed(&[request(2)]));
+        nodes[0].record(began_at, crashed(&[request(1)]));
+        nodes[1].record(began_at, crashed(&[request(2)]));
     }
     converge(began_at, &mut nodes);
-    nodes[0].seen(began_at, answered("service", request(2)));
+    nodes[0].record(began_at, answered("service", request(2)));
     for _ in 0..3 {
-        nodes[0].seen(began_at, crashed(&[request(3)]));
+        nodes[0].record(began_at, crashed(&[request(3)]));
     }
     let now = began_at + 60 * SECOND;
     assert!(
@@ -276,19 +276,19 @@
     );
     let late_peer = Peer {
         digest: nodes[1].digest(),
-        named: vec![],
+        fingerprints: vec![],
     };
     let updates = nodes[0].updates_for(now, Some(&late_peer));
     nodes[1].merge(now, updates.clone());
     assert!(is_quarantined(&nodes[1], now, request(3)));
     let other_peer = Peer {
         digest: nodes[0].digest(),
-        named: updates.iter().map(|suspect| suspect.fingerprint).collect(),
+        fingerprints: updates.iter().map(|suspect| suspect.fingerprint).collect(),
     };
     let updates = nodes[1].updates_for(now, Some(&other_peer));
     let late_peer = Peer {
         digest: nodes[1].digest(),
-        named: updates.iter().map(|suspect| suspect.fingerprint).collect(),
+        fingerprints: updates.iter().map(|suspect| suspect.fingerprint).collect(),
     };
     let updates = nodes[0].updates_for(now, Some(&late_peer));
     nodes[1].merge(now, updates);
@@ -303,14 +303,14 @@
 #[case::same(b"body", Some(4), true)]
 #[case::other_body(b"other", Some(5), false)]
 #[case::body_pending(b"", None, false)]
-fn judge_distinguishes_bodies(
+fn check_distinguishes_bodies(
     #[case] body: &[u8],
     #[case] declared: Option<u64>,
     #[case] quarantined: bool,
 ) {
     let fingerprint = |body: &[u8], declared| {
         let mut digest = fingerprint::Body::new(declared);
-        digest.take(body);
+        digest.update(body);
         Fingerprint {
             head: fingerprint::head("POST", "host", "/path", "account"),
             body: digest.digest(),
@@ -319,24 +319,24 @@
     let now = Instant::now();
     let mut node = node(0);
     for _ in 0..3 {
-        node.seen(now, crashed(&[fingerprint(b"body", Some(4))]));
+        node.record(now, crashed(&[fingerprint(b"body", Some(4))]));
     }
     let sent = fingerprint(body, declared);
     assert_eq!(is_quarantined(&node, now, sent), quarantined);
-    let verdict = node.screen().judge(now, sent);
-    assert_eq!(verdict == Verdict::BodyDecides, sent.body.is_none());
+    let verdict = node.screen().check(now, sent);
+    assert_eq!(verdict == Verdict::NeedsBody, sent.body.is_none());
     let other = fingerprint::head("POST", "host", "/path", "other");
     let other = Fingerprint {
         head: other,
         ..sent
     };
-    assert_eq!(node.screen().judge(now, other), Verdict::Pass);
+    assert_eq!(node.screen().check(now, other), Verdict::Pass);
 }
 
 /// Guards against a culprit that is never quarantined because its body is sent so slowly that
 /// upstreams crash before it has arrived: the head alone identifies it.
 #[test]
-fn judge_matches_the_head_if_no_body_arrived() {
+fn check_matches_the_head_if_no_body_arrived() {
     let now = Instant::now();
     let mut node = node(0);
     let without_body = Fingerprint {
@@ -344,11 +344,11 @@
         body: None,
     };
     for _ in 0..3 {
-        node.seen(now, crashed(&[without_body]));
+        node.record(now, crashed(&[without_body]));
     }
     assert!(is_quarantined(&node, now, without_body));
     assert!(is_quarantined(&node, now, request(7)));
-    node.seen(now, answered("service", request(7)));
+    node.record(now, answered("service", request(7)));
     assert!(!is_quarantined(&node, now, without_body));
 }
 
@@ -356,17 +356,17 @@
 /// request get different fingerprints.
 #[rstest]
 #[case::short(100)]
-#[case::long(3 * fingerprint::BODY_MOST)]
+#[case::long(3 * fingerprint::MAX_BODY_BYTES)]
 fn digest_does_not_depend_on_parts(#[case] length: usize) {
     let bytes: Vec<u8> = (0..length)
         .map(|n| u8::try_from(n % 251).expect("small"))
         .collect();
     let mut whole = fingerprint::Body::new(None);
-    whole.take(&bytes);
-    whole.end();
+    whole.update(&bytes);
+    whole.finish();
     let mut split = fingerprint::Body::new(u64::try_from(length).ok());
     for part in bytes.chunks(7) {
-        split.take(part);
+        split.update(part);
     }
     assert!(whole.digest().is_some());
     assert_eq!(whole.digest(), split.digest());
@@ -380,7 +380,7 @@
     let began_at = Instant::now();
     let mut nodes: Vec<Quarantine> = (0..3).map(node).collect();
     for _ in 0..3 {
-        nodes[0].seen(began_at, crashed(&[request(7)]));
+        nodes[0].record(began_at, crashed(&[request(7)]));
     }
     converge(began_at, &mut nodes);
     let mut trials = Vec::new();
@@ -388,10 +388,10 @@
         let now = began_at + second * SECOND;
         let due = nodes
             .iter()
-            .position(|node| node.screen().judge(now, request(7)) == Verdict::Trial);
+            .position(|node| node.screen().check(now, request(7)) == Verdict::Trial);
         if let Some(node) = due {
-            nodes[node].seen(now, Event::Tried(request(7)));
-            nodes[node].seen(now, crashed(&[request(7)]));
+            nodes[node].record(now, Event::Tried(request(7)));
+            nodes[node].record(now, crashed(&[request(7)]));
             converge(now, &mut nodes);
             trials.push(second);
         }
@@ -406,13 +406,13 @@
     let began_at = Instant::now();
     let mut node = node(0);
     for _ in 0..3 {
-        node.seen(began_at, crashed(&[request(7)]));
+        node.record(began_at, crashed(&[request(7)]));
     }
     let now = began_at + 10 * SECOND;
-    assert_eq!(node.screen().judge(now, request(7)), Verdict::Trial);
-    node.seen(now, Event::Tried(request(7)));
-    node.seen(now, answered("service", request(7)));
-    assert_eq!(node.screen().judge(now, request(7)), Verdict::Pass);
+    assert_eq!(node.screen().check(now, request(7)), Verdict::Trial);
+    node.record(now, Event::Tried(request(7)));
+    node.record(now, answered("service", request(7)));
+    assert_eq!(node.screen().check(now, request(7)), Verdict::Pass);
 }
 
 /// Guards against several nodes trying the same request: all nodes that know the same hosts choose
@@ -438,10 +438,10 @@
     let now = Instant::now();
     let mut node = node(0);
     for _ in 0..3 {
-        node.seen(now, crashed(&[request(0)]));
+        node.record(now, crashed(&[request(0)]));
     }
     for number in 1..1000 {
-        node.seen(now, crashed(&[request(number)]));
+        node.record(now, crashed(&[request(number)]));
     }
     assert_eq!(node.len(), Settings::default().suspects_most);
     assert!(is_quarantined(&node, now, request(0)));
@@ -451,18 +451,18 @@
 /// after its last crash every node forgets it, also one that learned of it later, and an update
 /// that still contains it does not restore it.
 #[test]
-fn tick_forgets_requests_no_longer_sent() {
+fn expire_forgets_requests_no_longer_sent() {
     let began_at = Instant::now();
     let mut nodes: Vec<Quarantine> = (0..2).map(node).collect();
     for _ in 0..3 {
-        nodes[0].seen(began_at, crashed(&[request(7)]));
+        nodes[0].record(began_at, crashed(&[request(7)]));
     }
     let later = began_at + 2 * SECOND;
     let updates = nodes[0].updates_for(later, None);
     nodes[1].merge(later, updates.clone());
     let hour_later = began_at + Settings::default().remember_for;
     for node in &mut nodes {
-        node.tick(hour_later);
+        node.expire(hour_later);
         assert_eq!(node.merge(hour_later, updates.clone()), Change::None);
         assert!(node.is_empty());
     }
@@ -512,7 +512,7 @@
             .collect();
         in_flight.retain(|(crashes_at, _)| *crashes_at > now);
         for host in due {
-            fleet.nodes[host].seen(
+            fleet.nodes[host].record(
                 now,
                 crashed(&[request(1), request(1_000 + u64::from(step))]),
             );
--- a/crates/node/src/control/codec.rs
+++ b/crates/node/src/control/codec.rs
@@ -8,7 +8,7 @@
 use mintridge_core::fingerprint::Fingerprint;
 use mintridge_core::membership::{self, Record, Standing, Summary, Upstream};
 use mintridge_core::preset::{InForce, Revision};
-use mintridge_core::quarantine::{self, End, Suspect};
+use mintridge_core::quarantine::{self, Crash, Suspect};
 use mintridge_core::route::Version;
 
 use crate::{packed, peer_capnp};
@@ -74,14 +74,14 @@
     /// What the other side needs to know of this one to answer it.
     #[must_use]
     pub fn peer_state(&self) -> PeerState {
-        let named = self.suspects.iter().map(|suspect| suspect.fingerprint);
+        let fingerprints = self.suspects.iter().map(|suspect| suspect.fingerprint);
         PeerState {
             versions: self.versions,
             records: self.updates.iter().map(Record::summary).collect(),
             packs: self.packs,
             quarantine: quarantine::Peer {
                 digest: self.held,
-                named: named.collect(),
+                fingerprints: fingerprints.collect(),
             },
         }
     }
@@ -318,14 +318,14 @@
             Some(body) => written.reborrow().init_body().set_digest(body),
         }
         written.set_trials(suspect.trials);
-        let left = suspect.forgotten_at.saturating_duration_since(now);
+        let left = suspect.expires_at.saturating_duration_since(now);
         written.set_left_seconds(u32::try_from(left.as_secs()).unwrap_or(u32::MAX));
-        let mut ends = written.init_ends(length_of(&suspect.ends));
-        for (index, end) in (0..ends.len()).zip(&suspect.ends) {
+        let mut ends = written.init_ends(length_of(&suspect.crashes));
+        for (index, crash) in (0..ends.len()).zip(&suspect.crashes) {
             let mut written = ends.reborrow().get(index);
-            written.set_id(end.id);
-            written.set_service(end.service);
-            written.set_cleared(end.cleared);
+            written.set_id(crash.id);
+            written.set_service(crash.service);
+            written.set_cleared(crash.cleared);
         }
     }
 }
@@ -346,7 +346,7 @@
         body::Digest(digest) => Some(digest),
     };
     let ends = from.get_ends()?;
-    let ends = ends.iter().map(|end| End {
+    let crashes = ends.iter().map(|end| Crash {
         id: end.get_id(),
         service: end.get_service(),
         cleared: end.get_cleared(),
@@ -356,9 +356,9 @@
             head: from.get_head(),
             body,
         },
-        ends: ends.collect(),
+        crashes: crashes.collect(),
         trials: from.get_trials(),
-        forgotten_at: now + Duration::from_secs(from.get_left_seconds().into()),
+        expires_at: now + Duration::from_secs(from.get_left_seconds().into()),
     })
 }
 
--- a/crates/node/src/control/epochs.rs
+++ b/crates/node/src/control/epochs.rs
@@ -24,7 +24,7 @@
 }
 
 fn returned(control: &Control, rise: Rise) {
-    let holds_back = !control.state.borrow().quarantine.held().is_empty();
+    let holds_back = !control.state.borrow().quarantine.quarantined().is_empty();
     let had_entry = control.state.borrow_mut().seed_lease.take().is_some();
     log::warn!(
         epoch_before = rise.before.0,
--- a/crates/node/src/control/persistence.rs
+++ b/crates/node/src/control/persistence.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use mintridge_core::fingerprint::Fingerprint;
-use mintridge_core::quarantine::{End, Suspect};
+use mintridge_core::quarantine::{Crash, Suspect};
 use mintridge_core::stagger::Stagger;
 use mintridge_store::client::Error;
 use mintridge_store::keys;
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Stored {
     fingerprint: Fingerprint,
-    ends: Vec<End>,
+    ends: Vec<Crash>,
     trials: u32,
     /// In milliseconds since the Unix epoch, by the clock of the node that wrote it.
     forgotten_at: u64,
@@ -79,7 +79,7 @@
     let stored = parse(control, stored);
     let now = Instant::now();
     suspects::merge(control, now, to_suspects(control, now, &stored));
-    let held = control.state.borrow().quarantine.held();
+    let held = control.state.borrow().quarantine.quarantined();
     if is_same(&stored, &held) {
         return Ok(true);
     }
@@ -140,10 +140,10 @@
 fn to_stored(now: Instant, held: &[Suspect]) -> Vec<Stored> {
     let told_at = unix_millis();
     let stored = held.iter().map(|held| {
-        let left = held.forgotten_at.saturating_duration_since(now);
+        let left = held.expires_at.saturating_duration_since(now);
         Stored {
             fingerprint: held.fingerprint,
-            ends: held.ends.clone(),
+            ends: held.crashes.clone(),
             trials: held.trials,
             forgotten_at: told_at.saturating_add(millis(left)),
         }
@@ -159,9 +159,9 @@
         let left = Duration::from_millis(stored.forgotten_at.saturating_sub(read_at));
         Suspect {
             fingerprint: stored.fingerprint,
-            ends: stored.ends.clone(),
+            crashes: stored.ends.clone(),
             trials: stored.trials,
-            forgotten_at: now + left.min(longest),
+            expires_at: now + left.min(longest),
         }
     });
     suspects.collect()
--- a/crates/node/src/control/suspects.rs
+++ b/crates/node/src/control/suspects.rs
@@ -20,7 +20,7 @@
     while let Some(event) = events.recv().await {
         let now = Instant::now();
         change(&control, |control| {
-            control.state.borrow_mut().quarantine.seen(now, event)
+            control.state.borrow_mut().quarantine.record(now, event)
         });
     }
 }
@@ -38,7 +38,7 @@
 /// Forgets what is due.
 pub fn tick(control: &Control, now: Instant) {
     change(control, |control| {
-        control.state.borrow_mut().quarantine.tick(now)
+        control.state.borrow_mut().quarantine.expire(now)
     });
 }
 
@@ -48,7 +48,7 @@
 /// Symptom: upstreams go on ending until all three are known in one place. An update goes to a
 /// few peers at once, and each to whom it is new does the same.
 fn change(control: &Control, act: impl FnOnce(&Control) -> Change) {
-    let before = fingerprints(&control.state.borrow().quarantine.held());
+    let before = fingerprints(&control.state.borrow().quarantine.quarantined());
     let digest = control.state.borrow().quarantine.digest();
     let change = act(control);
     if change == Change::None {
@@ -60,7 +60,7 @@
     let held_changed = state.quarantine.digest() != digest;
     drop(state);
     control.context.latest.screen.send_replace(screen);
-    let after = control.state.borrow().quarantine.held();
+    let after = control.state.borrow().quarantine.quarantined();
     control.context.metrics.suspects(suspects, after.len());
     log_changes(&before, &after);
     if change == Change::Urgent {
@@ -80,7 +80,7 @@
     for held in after.iter().filter(is_new).take(CHANGES_TOLD) {
         log::warn!(
             fingerprint:% = held.fingerprint,
-            ends = held.ends.len(),
+            ends = held.crashes.len(),
             trials = held.trials;
             "request is held back: upstreams ended under it"
         );
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -278,10 +278,10 @@
         service: &str,
         fingerprint: Fingerprint,
     ) -> Result<Option<Arc<str>>, Refusal> {
-        match self.context.screen().judge(now, fingerprint) {
+        match self.context.screen().check(now, fingerprint) {
             // The node beside the upstream reads the body and decides.
-            Verdict::Pass | Verdict::BodyDecides => Ok(None),
-            Verdict::Hold(until) => Err(Refusal::not_run(Reason::Quarantined, until)),
+            Verdict::Pass | Verdict::NeedsBody => Ok(None),
+            Verdict::Quarantined(until) => Err(Refusal::not_run(Reason::Quarantined, until)),
             Verdict::Trial => {
                 let placement = self.placement.lock();
                 let host = quarantine::trial_host(fingerprint, placement.hosts(service));
--- a/crates/node/src/entry/deferred.rs
+++ b/crates/node/src/entry/deferred.rs
@@ -18,14 +18,14 @@
 use bytes::Bytes;
 use futures_util::task::AtomicWaker;
 use hyper::body::{Body as HttpBody, Frame, SizeHint};
-use mintridge_core::fingerprint::BODY_MOST;
+use mintridge_core::fingerprint::MAX_BODY_BYTES;
 
 use super::Entry;
 use crate::link;
 use crate::replay::Replay;
 
 /// Bytes that are sent at once: the node beside the upstream tells by them whose body it is.
-pub const AHEAD: usize = BODY_MOST;
+pub const AHEAD: usize = MAX_BODY_BYTES;
 
 /// Whether the rest of a body may be sent.
 #[derive(Default)]
--- a/crates/node/src/guard/runs.rs
+++ b/crates/node/src/guard/runs.rs
@@ -134,10 +134,10 @@
         match &polled {
             Poll::Ready(Some(Ok(frame))) => {
                 if let Some(data) = frame.data_ref() {
-                    body.take(data);
+                    body.update(data);
                 }
             }
-            Poll::Ready(None) => body.end(),
+            Poll::Ready(None) => body.finish(),
             Poll::Ready(Some(Err(_))) | Poll::Pending => {}
         }
         drop(body);
@@ -238,7 +238,7 @@
             "upstream ended with requests in progress"
         );
         if let Some(digest) = in_progress.values().next() {
-            self.suspicion(Event::Ended {
+            self.suspicion(Event::Crashed {
                 service: Arc::clone(&digest.service),
                 in_progress: fingerprints,
             });
--- a/crates/node/src/guard/screening.rs
+++ b/crates/node/src/guard/screening.rs
@@ -47,18 +47,18 @@
         return Ok((request, None));
     }
     let mut request = request;
-    let mut verdict = screen.judge(Instant::now(), digest.fingerprint());
-    if verdict == Verdict::BodyDecides {
+    let mut verdict = screen.check(Instant::now(), digest.fingerprint());
+    if verdict == Verdict::NeedsBody {
         let reading = read_ahead(digest, request);
         request = tokio::time::timeout_at(head.deadline.into(), reading)
             .await
             .map_err(|_| guard.not_run(Reason::Deadline))?;
-        verdict = screen.judge(Instant::now(), digest.fingerprint());
+        verdict = screen.check(Instant::now(), digest.fingerprint());
     }
     match verdict {
         // A body that broke off is broken off towards the upstream as well.
-        Verdict::Pass | Verdict::BodyDecides => Ok((request, None)),
-        Verdict::Hold(until) => Err(Refusal::not_run(Reason::Quarantined, until)),
+        Verdict::Pass | Verdict::NeedsBody => Ok((request, None)),
+        Verdict::Quarantined(until) => Err(Refusal::not_run(Reason::Quarantined, until)),
         Verdict::Trial => {
             let trial = guard.try_out(head, digest.fingerprint())?;
             Ok((request, Some(trial)))
@@ -138,10 +138,10 @@
     /// again and again is remembered.
     pub(super) fn clear(&self, head: &Head, digest: &Digest) {
         let fingerprint = digest.fingerprint();
-        let times = self.state.lock().answered.note(fingerprint);
+        let times = self.state.lock().answered.record(fingerprint);
         // Told at each doubling, which bounds the messages and makes up for one that was lost.
         let is_common = times > 1 && times.is_power_of_two();
-        if is_common || self.context.screen().suspects(fingerprint) {
+        if is_common || self.context.screen().is_suspect(fingerprint) {
             self.suspicion(Event::Answered {
                 service: Arc::clone(&head.service),
                 fingerprint,
