--- a/crates/core/src/bootstrap.rs
+++ b/crates/core/src/bootstrap.rs
@@ -30,26 +30,26 @@
 
 /// Kind of hosts that the settings name for joining the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Named {
+pub enum Contacts {
     /// No host, as on the first start of a fleet.
-    Nobody,
+    None,
     /// Only other hosts.
     Others,
     /// This host is one of them, so other nodes wait for the data that it provides.
-    Own,
+    IncludesOwn,
 }
 
 /// State of a node's knowledge at one point in time.
 #[derive(Clone, Copy, Debug)]
-pub struct Known {
+pub struct Snapshot {
     /// When a peer was last in contact.
-    pub heard_at: Option<Instant>,
+    pub last_contact_at: Option<Instant>,
     /// Whether any other host is alive or suspected.
-    pub peers: bool,
+    pub has_peers: bool,
     /// Whether the node has the routing table or does not need one.
-    pub routes: bool,
+    pub has_routes: bool,
     /// Whether the node is one of the designated readers of the store in its zone.
-    pub holder: bool,
+    pub is_designated_reader: bool,
 }
 
 /// Role of a node in reading documents: the reason why it follows them in the store, or that it
@@ -65,7 +65,7 @@
     Isolated,
     /// The readers of the zone do not report that the store answers them, while it answers this
     /// node.
-    StandIn,
+    ActingReader,
 }
 
 impl Role {
@@ -76,7 +76,7 @@
             Self::Member => "member",
             Self::Reader => "reader",
             Self::Isolated => "isolated",
-            Self::StandIn => "stand-in",
+            Self::ActingReader => "stand-in",
         }
     }
 }
@@ -87,7 +87,7 @@
     /// Join through the nodes found.
     Join,
     /// Read again, with the latest writes included.
-    LookAtLatest,
+    ReadLatest,
     /// Write an entry, so that other nodes find this one.
     WriteEntry,
 }
@@ -112,19 +112,19 @@
         settings: Settings,
         isolated_after: Duration,
         now: Instant,
-        named: Named,
+        named: Contacts,
         seed: u64,
     ) -> Self {
         let fraction = unit_fraction(seed);
         let named_deadline = now + settings.named_first.mul_f64(1.0 + fraction);
         let routes_deadline = now + settings.routes_first.mul_f64(1.0 + fraction);
         let (discovery_at, routes_read_at) = match named {
-            Named::Nobody => {
+            Contacts::None => {
                 let discovery_at = now + settings.start_spread.mul_f64(start_offset(fraction));
                 (discovery_at, discovery_at)
             }
-            Named::Others => (named_deadline, routes_deadline),
-            Named::Own => (named_deadline, now),
+            Contacts::Others => (named_deadline, routes_deadline),
+            Contacts::IncludesOwn => (named_deadline, now),
         };
         Self {
             settings,
@@ -139,10 +139,10 @@
     /// Returns the node's role: whether and why it follows documents in the store and keeps an
     /// entry there.
     #[must_use]
-    pub fn role(&self, now: Instant, known: Known) -> Role {
-        if known.holder && self.is_settled(now) {
+    pub fn role(&self, now: Instant, snapshot: Snapshot) -> Role {
+        if snapshot.is_designated_reader && self.is_settled(now) {
             Role::Reader
-        } else if self.is_isolated(now, known) {
+        } else if self.is_isolated(now, snapshot) {
             Role::Isolated
         } else {
             Role::Member
@@ -151,8 +151,8 @@
 
     /// Whether the node follows documents in the store and keeps an entry there.
     #[must_use]
-    pub fn follows(&self, now: Instant, known: Known) -> bool {
-        self.role(now, known) != Role::Member
+    pub fn follows_store(&self, now: Instant, snapshot: Snapshot) -> bool {
+        self.role(now, snapshot) != Role::Member
     }
 
     /// Whether the node has run long enough to know most other nodes.
@@ -163,31 +163,31 @@
 
     /// Whether the node has had no contact with any peer for the isolation timeout.
     #[must_use]
-    pub fn is_isolated(&self, now: Instant, known: Known) -> bool {
-        let heard_at = known.heard_at.unwrap_or(self.started_at);
-        now > heard_at + self.isolated_after
+    pub fn is_isolated(&self, now: Instant, snapshot: Snapshot) -> bool {
+        let last_contact_at = snapshot.last_contact_at.unwrap_or(self.started_at);
+        now > last_contact_at + self.isolated_after
     }
 
     /// Whether the node reads the routing table from the store, since no peer has provided it.
     #[must_use]
-    pub fn reads_routes(&self, now: Instant, known: Known) -> bool {
-        !known.routes && now >= self.routes_read_at
+    pub fn is_routes_read_due(&self, now: Instant, snapshot: Snapshot) -> bool {
+        !snapshot.has_routes && now >= self.routes_read_at
     }
 
     /// Schedules the next read of the routing table, in case the last one did not find it.
-    pub fn found_no_routes(&mut self, now: Instant) {
+    pub fn schedule_routes_retry(&mut self, now: Instant) {
         self.routes_read_at = now + ROUTES_RETRY_DELAY;
     }
 
     /// Whether the node looks for other nodes in the store, since it knows no peer.
     #[must_use]
-    pub fn is_discovery_due(&self, now: Instant, known: Known) -> bool {
-        !known.peers && now >= self.discovery_at
+    pub fn is_discovery_due(&self, now: Instant, snapshot: Snapshot) -> bool {
+        !snapshot.has_peers && now >= self.discovery_at
     }
 
     /// Schedules the next discovery attempt with exponential backoff, in case the last one found no
     /// peer.
-    pub fn found_nobody(&mut self, now: Instant) {
+    pub fn schedule_discovery_retry(&mut self, now: Instant) {
         let factor = 2_u32.saturating_pow(self.discovery_attempts);
         self.discovery_at = now
             + MIN_DISCOVERY_BACKOFF
@@ -202,7 +202,7 @@
 #[must_use]
 pub const fn next_step(latest: bool, others: usize) -> Step {
     match (others, latest) {
-        (0, false) => Step::LookAtLatest,
+        (0, false) => Step::ReadLatest,
         (0, true) => Step::WriteEntry,
         _ => Step::Join,
     }
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -39,7 +39,7 @@
     /// Failure: two nodes act as readers and each yields to the other. Symptom: no node reads the
     /// store until the readers' reports are overdue again. This cannot happen because an acting
     /// reader yields only to nodes ahead of it.
-    pub fn reported(&mut self, answered_at: Instant, ahead: bool) {
+    pub fn record_report(&mut self, answered_at: Instant, ahead: bool) {
         if self.acts_as_reader && !ahead {
             return;
         }
@@ -49,12 +49,12 @@
 
     /// Updates and returns whether the node acts as a reader now; `position` is its position
     /// among the successors, 0 for a designated reader.
-    pub fn stands_in(&mut self, now: Instant, position: usize) -> bool {
+    pub fn acts_as_reader(&mut self, now: Instant, position: usize) -> bool {
         if self.acts_as_reader {
             self.acts_as_reader = now >= self.report_deadline;
         } else {
             self.acts_as_reader = self
-                .due_at(position)
+                .takeover_at(position)
                 .is_some_and(|takeover_at| now >= takeover_at);
         }
         self.acts_as_reader
@@ -62,7 +62,7 @@
 
     /// Returns when the node takes over if no report arrives; `None` if it is not a successor.
     #[must_use]
-    pub fn due_at(&self, position: usize) -> Option<Instant> {
+    pub fn takeover_at(&self, position: usize) -> Option<Instant> {
         if position > self.settings.successors {
             return None;
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -24,7 +24,6 @@
 pub mod admission;
 pub mod answered;
 pub mod attempts;
-pub mod audience;
 pub mod bootstrap;
 pub mod claim;
 pub mod configs;
@@ -46,6 +45,7 @@
 pub mod quarantine;
 pub mod queue;
 pub mod quota;
+pub mod recipients;
 pub mod request;
 pub mod retry;
 pub mod route;
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -28,7 +28,7 @@
 /// supersede earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum State {
     /// The host answers.
     Alive,
     /// The host did not answer, neither directly nor through other nodes.
@@ -76,7 +76,8 @@
     /// Version of this record.
     pub version: Version,
     /// Liveness of the host.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub state: State,
     /// Upstream beside the node, while announced.
     pub upstream: Option<Upstream>,
     /// Whether the node can decode packed records.
@@ -92,7 +93,7 @@
     /// Version of the record.
     pub version: Version,
     /// Liveness in that record.
-    pub standing: Standing,
+    pub state: State,
 }
 
 impl Record {
@@ -102,24 +103,22 @@
         Summary {
             host: Arc::clone(&self.host),
             version: self.version,
-            standing: self.standing,
+            state: self.state,
         }
     }
 
     fn matches(&self, summary: &Summary) -> bool {
-        self.host == summary.host
-            && self.version == summary.version
-            && self.standing == summary.standing
+        self.host == summary.host && self.version == summary.version && self.state == summary.state
     }
 
     fn supersedes(&self, other: &Self) -> bool {
-        (self.version, self.standing) > (other.version, other.standing)
+        (self.version, self.state) > (other.version, other.state)
     }
 
     /// Whether requests and exchanges may be sent to the host.
     #[must_use]
     pub fn is_present(&self) -> bool {
-        self.standing <= Standing::Suspect
+        self.state <= State::Suspect
     }
 }
 
@@ -141,7 +140,7 @@
     record: Record,
     /// When a suspect becomes dead, or a dead or departed host is removed.
     transition_at: Option<Instant>,
-    /// Whether only this node has observed the standing. It is then not sent to peers.
+    /// Whether only this node has observed the state. It is then not sent to peers.
     is_unconfirmed: bool,
 }
 
@@ -179,7 +178,7 @@
 
     /// Whether any other host is alive or suspected.
     #[must_use]
-    pub fn knows_peers(&self) -> bool {
+    pub fn has_peers(&self) -> bool {
         self.others().any(Record::is_present)
     }
 
@@ -208,7 +207,7 @@
 
     /// Marks this node as left.
     pub fn leave(&mut self) {
-        self.own.standing = Standing::Left;
+        self.own.state = State::Left;
         self.own.version.change += 1;
         self.spread_own();
     }
@@ -229,7 +228,7 @@
             return false;
         }
         let host = Arc::clone(&record.host);
-        let transition_at = self.next_transition_at(now, record.standing);
+        let transition_at = self.next_transition_at(now, record.state);
         self.others.insert(
             Arc::clone(&host),
             Entry {
@@ -243,12 +242,12 @@
     }
 
     /// Records that a peer answered: clears any suspicion against this version of its record.
-    pub fn answered(&mut self, host: &str) {
+    pub fn mark_alive(&mut self, host: &str) {
         let Some(entry) = self.others.get_mut(host) else {
             return;
         };
-        if entry.is_unconfirmed || entry.record.standing == Standing::Suspect {
-            entry.record.standing = Standing::Alive;
+        if entry.is_unconfirmed || entry.record.state == State::Suspect {
+            entry.record.state = State::Alive;
             entry.transition_at = None;
             entry.is_unconfirmed = false;
         }
@@ -261,15 +260,15 @@
     /// dead, one after the other, and spreads this once it is reconnected; each host then receives
     /// no requests from any node until it has refuted the claim. A suspicion that no other node
     /// confirms therefore stays local to this node.
-    pub fn unanswered(&mut self, now: Instant, host: &str, confirmed: bool) {
-        let transition_at = self.next_transition_at(now, Standing::Suspect);
+    pub fn mark_suspect(&mut self, now: Instant, host: &str, confirmed: bool) {
+        let transition_at = self.next_transition_at(now, State::Suspect);
         let Some(entry) = self.others.get_mut(host) else {
             return;
         };
-        if entry.record.standing != Standing::Alive {
+        if entry.record.state != State::Alive {
             return;
         }
-        entry.record.standing = Standing::Suspect;
+        entry.record.state = State::Suspect;
         entry.transition_at = transition_at;
         entry.is_unconfirmed = !confirmed;
         let host = Arc::clone(&entry.record.host);
@@ -304,7 +303,7 @@
             }
             self.remaining_peers.shuffle(&mut self.rng);
         }
-        let alone = !self.knows_peers();
+        let alone = !self.has_peers();
         while let Some(host) = self.remaining_peers.pop() {
             let known = self.others.get(&host).map(|entry| &entry.record);
             if let Some(record) = known.filter(|record| alone || record.is_present()) {
@@ -325,7 +324,7 @@
         self.others
             .values()
             .map(|entry| &entry.record)
-            .filter(|record| record.standing == Standing::Alive)
+            .filter(|record| record.state == State::Alive)
             .filter(|record| record.host.as_ref() != except)
             .cloned()
             .sample(&mut self.rng, max_count)
@@ -333,12 +332,12 @@
 
     /// Returns the records to send with the next exchange and counts them as sent.
     pub fn take_updates(&mut self) -> Vec<Record> {
-        self.take_updates_beside(&[])
+        self.take_updates_except(&[])
     }
 
     /// Returns the records to send to a peer that has just sent the records in `received`,
     /// leaving out those that the peer already has, and counts them as sent.
-    pub fn take_updates_beside(&mut self, received: &[Summary]) -> Vec<Record> {
+    pub fn take_updates_except(&mut self, received: &[Summary]) -> Vec<Record> {
         let is_known = |host: &Arc<str>| {
             let summary = received.iter().find(|summary| summary.host == *host);
             let record = self.record(host);
@@ -376,18 +375,18 @@
     /// the same view agree, and their number depends on the number of zones and not on the size
     /// of the fleet.
     #[must_use]
-    pub fn is_holder(&self) -> bool {
-        self.successor_place() == 0
+    pub fn is_designated_reader(&self) -> bool {
+        self.successor_position() == 0
     }
 
     /// Returns this node's position among the successors that take over when the designated
     /// readers of its zone fail; 0 if it is a designated reader.
     #[must_use]
-    pub fn successor_place(&self) -> usize {
+    pub fn successor_position(&self) -> usize {
         let own = hash_rank(&self.own.host);
         let ahead = self
-            .zone()
-            .filter(|record| record.standing == Standing::Alive)
+            .zone_peers()
+            .filter(|record| record.state == State::Alive)
             .filter(|record| hash_rank(&record.host) < own)
             .count();
         (ahead + 1).saturating_sub(self.settings.holders_per_zone)
@@ -395,12 +394,12 @@
 
     /// Whether `host` comes before this node in the order of the zone.
     #[must_use]
-    pub fn is_ahead(&self, host: &str) -> bool {
+    pub fn precedes_own(&self, host: &str) -> bool {
         hash_rank(host) < hash_rank(&self.own.host)
     }
 
     /// Returns the records of the other hosts in this node's zone.
-    pub fn zone(&self) -> impl Iterator<Item = &Record> {
+    pub fn zone_peers(&self) -> impl Iterator<Item = &Record> {
         self.others()
             .filter(|record| record.availability_zone == self.own.availability_zone)
     }
@@ -431,12 +430,12 @@
     }
 
     fn advance(&mut self, now: Instant, host: &Arc<str>) {
-        let transition_at = self.next_transition_at(now, Standing::Dead);
+        let transition_at = self.next_transition_at(now, State::Dead);
         let Some(entry) = self.others.get_mut(host) else {
             return;
         };
-        if entry.record.standing == Standing::Suspect {
-            entry.record.standing = Standing::Dead;
+        if entry.record.state == State::Suspect {
+            entry.record.state = State::Dead;
             entry.transition_at = transition_at;
             if !entry.is_unconfirmed {
                 self.spread(Arc::clone(host));
@@ -447,11 +446,11 @@
         self.updates.remove(host);
     }
 
-    fn next_transition_at(&self, now: Instant, standing: Standing) -> Option<Instant> {
-        match standing {
-            Standing::Alive => None,
-            Standing::Suspect => Some(now + self.settings.suspicion),
-            Standing::Dead | Standing::Left => Some(now + self.settings.forget_after),
+    fn next_transition_at(&self, now: Instant, state: State) -> Option<Instant> {
+        match state {
+            State::Alive => None,
+            State::Suspect => Some(now + self.settings.suspicion),
+            State::Dead | State::Left => Some(now + self.settings.forget_after),
         }
     }
 
--- a/crates/core/src/audience.rs
+++ b/crates/core/src/recipients.rs
@@ -23,7 +23,7 @@
 
 /// Nodes that sent requests recently.
 #[derive(Debug, Default)]
-pub struct Audience {
+pub struct Recipients {
     nodes: HashMap<SocketAddr, Sender>,
 }
 
@@ -35,9 +35,9 @@
     is_recurring: bool,
 }
 
-impl Audience {
+impl Recipients {
     /// Records a request from `node`.
-    pub fn sent(&mut self, now: Instant, node: SocketAddr) {
+    pub fn record_request(&mut self, now: Instant, node: SocketAddr) {
         let before = self.nodes.get(&node);
         let is_recurring = before.is_some_and(|sender| now < sender.expires_at);
         let sender = Sender {
@@ -57,7 +57,7 @@
     }
 
     /// Returns the nodes to notify: the most recent of the recurring senders.
-    pub fn current(&mut self, now: Instant) -> Vec<SocketAddr> {
+    pub fn select(&mut self, now: Instant) -> Vec<SocketAddr> {
         self.nodes.retain(|_, sender| now < sender.expires_at);
         let recipients = self.nodes.iter().filter(|(_, sender)| sender.is_recurring);
         let mut recipients: Vec<(Instant, SocketAddr)> = recipients
--- a/crates/core/tests/bootstrap.rs
+++ b/crates/core/tests/bootstrap.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use mintridge_core::bootstrap::{Bootstrap, Known, Named, Step, next_step};
+use mintridge_core::bootstrap::{Bootstrap, Contacts, Snapshot, Step, next_step};
 use mintridge_core::configs::bootstrap::Settings;
 use rstest::rstest;
 
@@ -23,12 +23,12 @@
     }
 }
 
-const fn no_knowledge() -> Known {
-    Known {
-        heard_at: None,
-        peers: false,
-        routes: false,
-        holder: true,
+const fn no_knowledge() -> Snapshot {
+    Snapshot {
+        last_contact_at: None,
+        has_peers: false,
+        has_routes: false,
+        is_designated_reader: true,
     }
 }
 
@@ -36,7 +36,7 @@
 /// nodes knew others.
 fn simulate_start(nodes: u64) -> (f64, Duration) {
     let start = Instant::now();
-    let node = |seed| Bootstrap::new(settings(), ISOLATED_AFTER, start, Named::Nobody, seed);
+    let node = |seed| Bootstrap::new(settings(), ISOLATED_AFTER, start, Contacts::None, seed);
     let mut waiting: Vec<Bootstrap> = (0..nodes).map(node).collect();
     let mut calls = 0.0;
     let mut written: Vec<Instant> = Vec::new();
@@ -83,19 +83,19 @@
 #[test]
 fn store_is_not_used_by_a_node_that_joins_through_peers() {
     let start = Instant::now();
-    let node = Bootstrap::new(settings(), ISOLATED_AFTER, start, Named::Others, 7);
+    let node = Bootstrap::new(settings(), ISOLATED_AFTER, start, Contacts::Others, 7);
     for millis in 0..2_000 {
         let now = start + Duration::from_millis(millis);
         let has_routes = millis >= 12;
         let has_joined = millis >= 25;
-        let known = Known {
-            heard_at: has_joined.then_some(now),
-            peers: has_joined,
-            routes: has_routes,
-            holder: true,
+        let snapshot = Snapshot {
+            last_contact_at: has_joined.then_some(now),
+            has_peers: has_joined,
+            has_routes,
+            is_designated_reader: true,
         };
-        assert!(!node.is_discovery_due(now, known) && !node.reads_routes(now, known));
-        assert!(!node.follows(now, known), "after {millis} ms");
+        assert!(!node.is_discovery_due(now, snapshot) && !node.is_routes_read_due(now, snapshot));
+        assert!(!node.follows_store(now, snapshot), "after {millis} ms");
     }
 }
 
@@ -107,9 +107,9 @@
 fn store_is_read_in_time_without_named_hosts() {
     let start = Instant::now();
     for seed in 0..300 {
-        let node = Bootstrap::new(settings(), ISOLATED_AFTER, start, Named::Others, seed);
+        let node = Bootstrap::new(settings(), ISOLATED_AFTER, start, Contacts::Others, seed);
         let routes_due_at = start + Duration::from_millis(30);
-        assert!(node.reads_routes(routes_due_at, no_knowledge()));
+        assert!(node.is_routes_read_due(routes_due_at, no_knowledge()));
         assert!(node.is_discovery_due(start + Duration::from_millis(60), no_knowledge()));
     }
 }
@@ -117,10 +117,10 @@
 /// After a power loss of the whole fleet, the named hosts must read the routing table immediately,
 /// since other nodes wait for it.
 #[test]
-fn reads_routes_immediately_on_a_named_host() {
+fn is_routes_read_due_immediately_on_a_named_host() {
     let start = Instant::now();
-    let node = Bootstrap::new(settings(), ISOLATED_AFTER, start, Named::Own, 1);
-    assert!(node.reads_routes(start, no_knowledge()));
+    let node = Bootstrap::new(settings(), ISOLATED_AFTER, start, Contacts::IncludesOwn, 1);
+    assert!(node.is_routes_read_due(start, no_knowledge()));
 }
 
 /// A node is cut off from its peers but not from the store for half a minute. Its discovery
@@ -128,13 +128,13 @@
 #[test]
 fn discovery_backs_off_while_cut_off() {
     let start = Instant::now();
-    let mut node = Bootstrap::new(settings(), ISOLATED_AFTER, start, Named::Others, 1);
+    let mut node = Bootstrap::new(settings(), ISOLATED_AFTER, start, Contacts::Others, 1);
     let mut attempts = 0;
     for tick in 0..3_000 {
         let now = start + TICK * tick;
         if node.is_discovery_due(now, no_knowledge()) {
             attempts += 1;
-            node.found_nobody(now);
+            node.schedule_discovery_retry(now);
         }
     }
     assert!((8..=12).contains(&attempts), "{attempts} attempts");
--- a/crates/core/tests/failover.rs
+++ b/crates/core/tests/failover.rs
@@ -87,7 +87,7 @@
             return;
         }
         let position = (index + 1).saturating_sub(READERS);
-        let reads = position == 0 || node.failover.stands_in(now, position);
+        let reads = position == 0 || node.failover.acts_as_reader(now, position);
         node.reads = reads && node.condition == Condition::Healthy;
         if !reads {
             return;
@@ -105,7 +105,7 @@
         for (to, node) in self.nodes.iter_mut().enumerate() {
             let is_lost = self.rng.random_ratio(self.loss_percent, 100);
             if to != from && node.condition != Condition::Stopped && !is_lost {
-                node.failover.reported(self.now, from < to);
+                node.failover.record_report(self.now, from < to);
             }
         }
     }
@@ -130,7 +130,7 @@
 #[case::last_successor_is_healthy(17, 9, Condition::Unanswered)]
 #[case::all_before_have_stopped(17, 9, Condition::Stopped)]
 #[case::large_zone(73, 8, Condition::Unanswered)]
-fn stands_in_soon_enough_for_a_change_to_be_in_force(
+fn acts_as_reader_soon_enough_for_a_change_to_be_in_force(
     #[case] size: usize,
     #[case] failed: usize,
     #[case] condition: Condition,
@@ -148,7 +148,7 @@
 
 /// Guards against other nodes that call the store while the readers report.
 #[test]
-fn stands_in_is_false_while_readers_report() {
+fn acts_as_reader_is_false_while_readers_report() {
     for seed in 0..20 {
         let mut zone = Zone::new(17, seed, 2);
         zone.run(Duration::from_secs(2), |_| false);
@@ -162,7 +162,7 @@
 
 /// Guards against a whole zone that calls an unavailable store.
 #[test]
-fn stands_in_limits_the_nodes_that_call_an_unavailable_store() {
+fn acts_as_reader_limits_the_nodes_that_call_an_unavailable_store() {
     let settings = Settings::default();
     let mut zone = Zone::new(73, 1, 2);
     zone.run(Duration::from_secs(3), |_| false);
@@ -180,7 +180,7 @@
 /// Guards against several nodes that act as readers indefinitely, and against two that yield to
 /// each other.
 #[test]
-fn stands_in_converges_to_one_node_and_ends_when_a_reader_recovers() {
+fn acts_as_reader_converges_to_one_node_and_ends_when_a_reader_recovers() {
     let mut zone = Zone::new(17, 3, 2);
     zone.run(Duration::from_secs(3), |_| false);
     zone.nodes[0].condition = Condition::Unanswered;
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use mintridge_core::configs::membership::Settings;
-use mintridge_core::membership::{Record, Standing, Summary, Table, Upstream, Version};
+use mintridge_core::membership::{Record, State, Summary, Table, Upstream, Version};
 use rstest::rstest;
 
 fn record(host: &str, incarnation: u64) -> Record {
@@ -21,7 +21,7 @@
             incarnation,
             change: 0,
         },
-        standing: Standing::Alive,
+        state: State::Alive,
         upstream: None,
         packs: true,
     }
@@ -57,7 +57,7 @@
         for record in ours {
             tables[other].merge(now, record);
         }
-        let theirs = tables[other].take_updates_beside(&known);
+        let theirs = tables[other].take_updates_except(&known);
         for record in theirs {
             tables[index].merge(now, record);
         }
@@ -96,7 +96,7 @@
     let now = Instant::now();
     let mut table = table("a", 1);
     table.merge(now, record("b", 1));
-    table.unanswered(now, "b", true);
+    table.mark_suspect(now, "b", true);
     assert_eq!(
         table.present().count(),
         2,
@@ -115,10 +115,10 @@
     let mut other = table("a", 1);
     let mut frozen = table("b", 2);
     other.merge(now, frozen.own().clone());
-    other.unanswered(now, "b", true);
+    other.mark_suspect(now, "b", true);
     other.tick(now + Duration::from_secs(3));
     let death = Record {
-        standing: Standing::Dead,
+        state: State::Dead,
         ..frozen.own().clone()
     };
     frozen.merge(now, death);
@@ -145,14 +145,14 @@
 }
 
 #[rstest]
-#[case::older_version(Version { incarnation: 1, change: 4 }, Standing::Alive, false)]
-#[case::same(Version { incarnation: 1, change: 5 }, Standing::Alive, false)]
-#[case::worse_standing(Version { incarnation: 1, change: 5 }, Standing::Suspect, true)]
-#[case::newer_version(Version { incarnation: 1, change: 6 }, Standing::Alive, true)]
-#[case::newer_process(Version { incarnation: 2, change: 0 }, Standing::Alive, true)]
+#[case::older_version(Version { incarnation: 1, change: 4 }, State::Alive, false)]
+#[case::same(Version { incarnation: 1, change: 5 }, State::Alive, false)]
+#[case::worse_state(Version { incarnation: 1, change: 5 }, State::Suspect, true)]
+#[case::newer_version(Version { incarnation: 1, change: 6 }, State::Alive, true)]
+#[case::newer_process(Version { incarnation: 2, change: 0 }, State::Alive, true)]
 fn merge_accepts_only_newer_records(
     #[case] version: Version,
-    #[case] standing: Standing,
+    #[case] state: State,
     #[case] expected: bool,
 ) {
     let now = Instant::now();
@@ -167,16 +167,19 @@
     table.merge(now, known.clone());
     let update = Record {
         version,
-        standing,
+        state,
         ..known
     };
     assert_eq!(table.merge(now, update), expected);
 }
 
 #[test]
-fn is_holder_selects_the_same_nodes_on_every_node() {
+fn is_designated_reader_selects_the_same_nodes_on_every_node() {
     let tables = fleet(100);
-    let holders = tables.iter().filter(|table| table.is_holder()).count();
+    let holders = tables
+        .iter()
+        .filter(|table| table.is_designated_reader())
+        .count();
     assert_eq!(holders, 2);
 }
 
@@ -198,7 +201,7 @@
 /// each marks it alive, as does a record received from another node. If the node spread its
 /// unconfirmed suspicions, no host would receive requests from any node until it had refuted them.
 #[test]
-fn unanswered_without_confirmation_is_not_spread() {
+fn mark_suspect_without_confirmation_is_not_spread() {
     let mut now = Instant::now();
     let mut cut_off = table("a", 1);
     for host in ["b", "c", "d"] {
@@ -206,15 +209,15 @@
     }
     while !cut_off.take_updates().is_empty() {}
     for host in ["b", "c", "d"] {
-        cut_off.unanswered(now, host, false);
+        cut_off.mark_suspect(now, host, false);
     }
     now += Duration::from_secs(10);
     cut_off.tick(now);
-    assert!(!cut_off.knows_peers());
+    assert!(!cut_off.has_peers());
     assert_eq!(cut_off.take_updates(), []);
     let contacted = cut_off.next_peer().expect("a formerly known peer");
-    cut_off.answered(&contacted.host);
-    assert!(cut_off.knows_peers());
+    cut_off.mark_alive(&contacted.host);
+    assert!(cut_off.has_peers());
     for host in ["b", "c", "d"] {
         cut_off.merge(now, record(host, 1));
     }
@@ -272,7 +275,7 @@
 /// Guards against responses in an exchange that are filled with the records the peer has just sent:
 /// when the whole fleet changes, some changes would then never reach all nodes.
 #[test]
-fn take_updates_beside_lets_a_changed_fleet_converge() {
+fn take_updates_except_lets_a_changed_fleet_converge() {
     const NODES: u64 = 300;
     const MAX_ROUNDS: u32 = 20;
     let mut tables = fleet(NODES);
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -17,10 +17,10 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use mintridge_core::bootstrap::{self, Bootstrap, Known, Named, Role};
+use mintridge_core::bootstrap::{self, Bootstrap, Contacts, Role, Snapshot};
 use mintridge_core::evacuation;
 use mintridge_core::failover::Failover;
-use mintridge_core::membership::{Record, Standing, Table, Version};
+use mintridge_core::membership::{self, Record, Table, Version};
 use mintridge_core::preset::{InForce, Offered, Register};
 use mintridge_core::quarantine::{Event, Quarantine};
 use mintridge_core::route::{self, Document};
@@ -136,7 +136,7 @@
                 incarnation: context.incarnation,
                 change: 0,
             },
-            standing: Standing::Alive,
+            state: membership::State::Alive,
             upstream: None,
             packs: true,
         };
@@ -146,7 +146,7 @@
             settings.bootstrap.clone(),
             settings.control.isolated_after,
             Instant::now(),
-            named(&context),
+            contacts(&context),
             seed,
         );
         Self {
@@ -190,7 +190,7 @@
         let view = View {
             members: state.table.present().cloned().collect(),
             in_force: Arc::clone(state.register.current()),
-            holder: state.table.is_holder(),
+            holder: state.table.is_designated_reader(),
             evacuated: state.evacuations.evacuated().cloned().collect(),
         };
         drop(state);
@@ -294,22 +294,22 @@
     }
 
     /// What this node knows, as far as its use of the store depends on it.
-    fn known(&self) -> Known {
+    fn snapshot(&self) -> Snapshot {
         let state = self.state.borrow();
         let needs_routes = self.context.settings.routes.key.is_some();
-        Known {
-            heard_at: state.heard_at,
-            peers: state.table.knows_peers(),
-            routes: !needs_routes || state.routes.current().is_some(),
-            holder: state.table.is_holder(),
+        Snapshot {
+            last_contact_at: state.heard_at,
+            has_peers: state.table.has_peers(),
+            has_routes: !needs_routes || state.routes.current().is_some(),
+            is_designated_reader: state.table.is_designated_reader(),
         }
     }
 
     /// Why this node follows the store, or that it does not.
-    fn role(&self, now: Instant, known: Known) -> Role {
-        let role = self.state.borrow().bootstrap.role(now, known);
-        if role == Role::Member && self.reach.stands_in() {
-            Role::StandIn
+    fn role(&self, now: Instant, snapshot: Snapshot) -> Role {
+        let role = self.state.borrow().bootstrap.role(now, snapshot);
+        if role == Role::Member && self.reach.acts_as_reader() {
+            Role::ActingReader
         } else {
             role
         }
@@ -317,12 +317,12 @@
 
     /// Whether this node follows the store itself.
     fn follows_store(&self, now: Instant) -> bool {
-        self.role(now, self.known()) != Role::Member
+        self.role(now, self.snapshot()) != Role::Member
     }
 
     /// Logs why this node follows the store, or no longer does, if that has changed.
-    fn log_role(&self, now: Instant, known: Known) {
-        let role = self.role(now, known);
+    fn log_role(&self, now: Instant, snapshot: Snapshot) {
+        let role = self.role(now, snapshot);
         let before = std::mem::replace(&mut self.state.borrow_mut().role, role);
         if role == before {
             return;
@@ -332,7 +332,7 @@
         log::info!(
             role = role.as_str(),
             before = before.as_str(),
-            peer_heard_ms:? = age(known.heard_at),
+            peer_heard_ms:? = age(snapshot.last_contact_at),
             store_answered_ms:? = age(self.reach.answered_at());
             "role in reading the store changed"
         );
@@ -340,14 +340,14 @@
 }
 
 /// Which hosts the settings name to join through.
-fn named(context: &Context) -> Named {
+fn contacts(context: &Context) -> Contacts {
     let own = context.addresses.control;
     let named = exchange::named(&context.settings);
     if named.is_empty() {
-        Named::Nobody
+        Contacts::None
     } else if named.contains(&own) {
-        Named::Own
+        Contacts::IncludesOwn
     } else {
-        Named::Others
+        Contacts::Others
     }
 }
--- a/crates/node/src/control/codec.rs
+++ b/crates/node/src/control/codec.rs
@@ -6,7 +6,7 @@
 
 use mintridge_core::evacuation::{Stamp, Zone};
 use mintridge_core::fingerprint::Fingerprint;
-use mintridge_core::membership::{self, Record, Standing, Summary, Upstream};
+use mintridge_core::membership::{self, Record, State, Summary, Upstream};
 use mintridge_core::preset::{InForce, Revision};
 use mintridge_core::quarantine::{self, Crash, Suspect};
 use mintridge_core::route::Version;
@@ -253,11 +253,11 @@
     to.set_incarnation(record.version.incarnation);
     to.set_change(record.version.change);
     to.set_packs(record.packs);
-    to.set_standing(match record.standing {
-        Standing::Alive => peer_capnp::Standing::Alive,
-        Standing::Suspect => peer_capnp::Standing::Suspect,
-        Standing::Dead => peer_capnp::Standing::Dead,
-        Standing::Left => peer_capnp::Standing::Left,
+    to.set_standing(match record.state {
+        State::Alive => peer_capnp::Standing::Alive,
+        State::Suspect => peer_capnp::Standing::Suspect,
+        State::Dead => peer_capnp::Standing::Dead,
+        State::Left => peer_capnp::Standing::Left,
     });
     match &record.upstream {
         None => to.init_upstream().set_none(()),
@@ -293,11 +293,11 @@
             incarnation: from.get_incarnation(),
             change: from.get_change(),
         },
-        standing: match from.get_standing()? {
-            peer_capnp::Standing::Alive => Standing::Alive,
-            peer_capnp::Standing::Suspect => Standing::Suspect,
-            peer_capnp::Standing::Dead => Standing::Dead,
-            peer_capnp::Standing::Left => Standing::Left,
+        state: match from.get_standing()? {
+            peer_capnp::Standing::Alive => State::Alive,
+            peer_capnp::Standing::Suspect => State::Suspect,
+            peer_capnp::Standing::Dead => State::Dead,
+            peer_capnp::Standing::Left => State::Left,
         },
         upstream,
         packs: from.get_packs(),
--- a/crates/node/src/control/exchange.rs
+++ b/crates/node/src/control/exchange.rs
@@ -80,7 +80,7 @@
 /// One round: the peer itself, then others about it, then suspicion.
 async fn round(control: Rc<Control>, record: Record) {
     if with(&control, record.control_address).await.is_ok() {
-        control.state.borrow_mut().table.answered(&record.host);
+        control.state.borrow_mut().table.mark_alive(&record.host);
         return;
     }
     let relays = control.state.borrow_mut().table.relays(&record.host);
@@ -95,7 +95,7 @@
     log::info!(host = &*record.host, confirmed = confirmed; "host does not answer");
     let now = Instant::now();
     let mut state = control.state.borrow_mut();
-    state.table.unanswered(now, &record.host, confirmed);
+    state.table.mark_suspect(now, &record.host, confirmed);
     drop(state);
     control.publish();
 }
@@ -130,7 +130,7 @@
     named.retain(|address| *address != own);
     let mut pause = JOIN_AGAIN_LEAST;
     while !named.is_empty() {
-        if !control.state.borrow().table.knows_peers() {
+        if !control.state.borrow().table.has_peers() {
             let joining = named
                 .iter()
                 .map(|address| Box::pin(join_at(&control, *address)));
@@ -352,7 +352,7 @@
     codec::Exchange {
         updates: state
             .table
-            .take_updates_beside(peer.map_or(&[], |peer| &peer.records)),
+            .take_updates_except(peer.map_or(&[], |peer| &peer.records)),
         digest: state.table.digest(),
         versions,
         in_force,
--- a/crates/node/src/control/failover.rs
+++ b/crates/node/src/control/failover.rs
@@ -33,7 +33,7 @@
     /// A check was not answered since the last one that was.
     missed: Cell<bool>,
     /// This node takes the place of its zone's readers.
-    stands_in: Cell<bool>,
+    acts_as_reader: Cell<bool>,
     /// An exchange is under way with a peer that has something newer in force.
     catching_up: Cell<bool>,
     /// Whether the node follows the store may have changed.
@@ -65,8 +65,8 @@
     }
 
     /// Whether this node takes the place of its zone's readers, and the store answers it.
-    pub fn stands_in(&self) -> bool {
-        self.stands_in.get() && !self.missed.get()
+    pub fn acts_as_reader(&self) -> bool {
+        self.acts_as_reader.get() && !self.missed.get()
     }
 
     /// Waits until whether the node follows the store may have changed.
@@ -112,14 +112,17 @@
 fn apply(control: &Rc<Control>, report: &Report) {
     let now = Instant::now();
     let mut state = control.state.borrow_mut();
-    let sender = state.table.zone().find(|record| record.host == report.host);
+    let sender = state
+        .table
+        .zone_peers()
+        .find(|record| record.host == report.host);
     let Some(address) = sender.map(|record| record.control_address) else {
         return;
     };
-    let ahead = state.table.is_ahead(&report.host);
+    let ahead = state.table.precedes_own(&report.host);
     let age = Duration::from_millis(report.age_millis);
     if let Some(answered_at) = now.checked_sub(age) {
-        state.failover.reported(answered_at, ahead);
+        state.failover.record_report(answered_at, ahead);
     }
     let theirs = codec::Versions {
         preset: report.preset,
@@ -167,23 +170,23 @@
 
 /// Whether this node reads documents in the store, or is to, in place of its zone's readers.
 fn reads_store(control: &Control, now: Instant) -> bool {
-    let known = control.known();
+    let snapshot = control.snapshot();
     let mut state = control.state.borrow_mut();
-    let follows = state.bootstrap.follows(now, known);
-    let place = state.table.successor_place();
-    let stands_in = !follows && state.failover.stands_in(now, place);
-    if stands_in && !control.reach.stands_in.get() {
+    let follows = state.bootstrap.follows_store(now, snapshot);
+    let position = state.table.successor_position();
+    let acts_as_reader = !follows && state.failover.acts_as_reader(now, position);
+    if acts_as_reader && !control.reach.acts_as_reader.get() {
         // Nothing is read in full before the store has answered a check.
         control.reach.missed.set(true);
     }
-    control.reach.stands_in.set(stands_in);
-    follows || stands_in
+    control.reach.acts_as_reader.set(acts_as_reader);
+    follows || acts_as_reader
 }
 
 /// When this node's turn comes to take the place of its zone's readers.
 fn turn_at(control: &Control) -> Option<Instant> {
     let state = control.state.borrow();
-    state.failover.due_at(state.table.successor_place())
+    state.failover.takeover_at(state.table.successor_position())
 }
 
 /// Whether the store is to be asked: nothing else has shown lately that it answers, nor fails.
@@ -191,7 +194,7 @@
     let reach = &control.reach;
     let every = control.context.settings.failover.check_every;
     let is_recent = reach.answered_at.get().is_some_and(|at| now < at + every);
-    let is_read_again = reach.failing.get() && !reach.stands_in.get();
+    let is_read_again = reach.failing.get() && !reach.acts_as_reader.get();
     !is_recent && !is_read_again
 }
 
@@ -233,7 +236,10 @@
     };
     let (versions, zone) = {
         let state = control.state.borrow();
-        let present = state.table.zone().filter(|record| record.is_present());
+        let present = state
+            .table
+            .zone_peers()
+            .filter(|record| record.is_present());
         let zone: Vec<SocketAddr> = present.map(|record| record.control_address).collect();
         (state.versions(), zone)
     };
--- a/crates/node/src/control/holder.rs
+++ b/crates/node/src/control/holder.rs
@@ -30,19 +30,29 @@
         if control.store_regained.take() {
             seeds_at = now;
         }
-        let known = control.known();
-        control.log_role(now, known);
+        let snapshot = control.snapshot();
+        control.log_role(now, snapshot);
         if control
             .state
             .borrow()
             .bootstrap
-            .is_discovery_due(now, known)
+            .is_discovery_due(now, snapshot)
         {
             discover_peers(&control).await;
             persistence::recall(&control).await;
             let now = Instant::now();
-            control.state.borrow_mut().bootstrap.found_nobody(now);
-        } else if now >= seeds_at && control.state.borrow().bootstrap.follows(now, known) {
+            control
+                .state
+                .borrow_mut()
+                .bootstrap
+                .schedule_discovery_retry(now);
+        } else if now >= seeds_at
+            && control
+                .state
+                .borrow()
+                .bootstrap
+                .follows_store(now, snapshot)
+        {
             let kept = keep_seeds(&control).await;
             let settings = &control.context.settings.control;
             let pause = if kept {
@@ -52,7 +62,7 @@
             };
             seeds_at = Instant::now() + pause;
         }
-        let holder = control.state.borrow().table.is_holder();
+        let holder = control.state.borrow().table.is_designated_reader();
         if !holder && control.state.borrow().seed_lease.is_some() {
             leave(&control).await;
         }
@@ -80,7 +90,7 @@
                     return;
                 }
             }
-            Step::LookAtLatest => {}
+            Step::ReadLatest => {}
             Step::WriteEntry => {
                 keep_seed(control).await;
             }
@@ -111,7 +121,7 @@
     if !renew_seed(control).await || !find_others(control).await {
         return false;
     }
-    let holder = control.state.borrow().table.is_holder();
+    let holder = control.state.borrow().table.is_designated_reader();
     !holder || keep_seed(control).await
 }
 
--- a/crates/node/src/control/watch.rs
+++ b/crates/node/src/control/watch.rs
@@ -84,7 +84,7 @@
             read_first(&control, &source).await;
         }
         if !control.follows_store(Instant::now()) {
-            let pause = if control.known().routes {
+            let pause = if control.snapshot().has_routes {
                 LOOK_EVERY
             } else {
                 LOOK_FOR_ROUTES_EVERY
@@ -111,8 +111,13 @@
 /// Reads the routing table once, if it is time to do without peers that have it.
 async fn read_first(control: &Rc<Control>, source: &Source) {
     let now = Instant::now();
-    let known = control.known();
-    if !control.state.borrow().bootstrap.reads_routes(now, known) {
+    let snapshot = control.snapshot();
+    if !control
+        .state
+        .borrow()
+        .bootstrap
+        .is_routes_read_due(now, snapshot)
+    {
         return;
     }
     let key = source.key.as_str();
@@ -123,7 +128,11 @@
     }
     persistence::recall(control).await;
     let now = Instant::now();
-    control.state.borrow_mut().bootstrap.found_no_routes(now);
+    control
+        .state
+        .borrow_mut()
+        .bootstrap
+        .schedule_routes_retry(now);
 }
 
 /// Reads the document, and what lies beside it under the prefix.
--- a/crates/node/src/entry/candidates.rs
+++ b/crates/node/src/entry/candidates.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use mintridge_core::membership::{Record, Standing};
+use mintridge_core::membership::{Record, State};
 use mintridge_core::placement::Upstream;
 
 use crate::context::View;
@@ -19,7 +19,7 @@
     let alive = |service: &Arc<str>| {
         members.iter().filter(offering).any(|record| {
             let upstream = record.upstream.as_ref();
-            record.standing == Standing::Alive && upstream.is_some_and(|u| u.service == *service)
+            record.state == State::Alive && upstream.is_some_and(|u| u.service == *service)
         })
     };
     members
@@ -27,7 +27,7 @@
         .filter(offering)
         .filter_map(|record| {
             let upstream = record.upstream.as_ref()?;
-            if record.standing != Standing::Alive && alive(&upstream.service) {
+            if record.state != State::Alive && alive(&upstream.service) {
                 return None;
             }
             Some(Upstream {
--- a/crates/node/src/guard/reporting.rs
+++ b/crates/node/src/guard/reporting.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use mintridge_core::audience::Audience;
+use mintridge_core::recipients::Recipients;
 use parking_lot::Mutex;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
@@ -16,14 +16,14 @@
 /// Nodes to tell, and whether there is something to tell.
 #[derive(Default)]
 pub struct Reporting {
-    audience: Mutex<Audience>,
+    recipients: Mutex<Recipients>,
     changed: Notify,
 }
 
 impl Reporting {
     /// A node sent a request and wants to be told.
     pub fn sent(&self, now: Instant, node: SocketAddr) {
-        self.audience.lock().sent(now, node);
+        self.recipients.lock().record_request(now, node);
     }
 
     /// The load has changed.
@@ -46,7 +46,7 @@
     loop {
         guard.reporting.changed.notified().await;
         if let Some(report) = guard.datagram() {
-            let nodes = guard.reporting.audience.lock().current(Instant::now());
+            let nodes = guard.reporting.recipients.lock().select(Instant::now());
             let metrics = &guard.context.metrics;
             datagram::send(&socket, metrics, reports::KIND, &report, &nodes).await;
         }
--- a/crates/standin/src/tables.rs
+++ b/crates/standin/src/tables.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use mintridge_core::configs::membership::Settings;
-use mintridge_core::membership::{Record, Standing, Summary, Table, Upstream, Version};
+use mintridge_core::membership::{Record, State, Summary, Table, Upstream, Version};
 
 /// Restarts among the members while rounds are measured.
 const NEWS_EVERY: usize = 4;
@@ -94,7 +94,7 @@
             incarnation: 1,
             change: 0,
         },
-        standing: Standing::Alive,
+        state: State::Alive,
         upstream: None,
         packs: true,
     };
@@ -129,7 +129,7 @@
         for record in ours {
             tables[other].merge(now, record);
         }
-        let theirs = tables[other].take_updates_beside(&known);
+        let theirs = tables[other].take_updates_except(&known);
         sent += u32::try_from(known.len() + theirs.len()).unwrap_or(u32::MAX);
         for record in theirs {
             tables[index].merge(now, record);
