--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -5,9 +5,9 @@
 //! were paused or were replaced in between. Keys that wait at the same time are created in one
 //! write, so the number of writes is bounded by the write budget and not by the number of requests.
 //!
-//! A claim stores the mark that the entry node gave its request. The entry node sends a
-//! non-idempotent request to a second host only after the first has certainly refused it, so a
-//! second host that finds the same mark in the store may proceed.
+//! A claim stores its owner: the identifier that the entry node gave the request. The entry node
+//! sends a non-idempotent request to a second host only after the first has certainly refused it,
+//! so a second host that finds the same owner in the store may proceed.
 //!
 //! A store that is restored from an older copy has lost its newest claims. The node that was
 //! granted a claim remembers it for as long as a copy may be old and writes it again. Until all
@@ -26,7 +26,7 @@
 
 /// Identifies the claiming request: entry host, its incarnation, and its number of the request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Mark(pub Arc<str>);
+pub struct Owner(pub Arc<str>);
 
 /// A claim of one key for one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -34,7 +34,7 @@
     /// The key that is claimed.
     pub key: Key,
     /// The request that claims it.
-    pub mark: Mark,
+    pub owner: Owner,
 }
 
 /// Result of a claim.
@@ -51,7 +51,7 @@
     Doubtful,
 }
 
-/// Number by which the caller of [`Claims::ask`] matches the answer to its claim.
+/// Number by which the caller of [`Claims::submit`] matches the answer to its claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Ticket(pub u64);
 
@@ -62,7 +62,7 @@
     Write(Vec<Claim>),
     /// The reply to a write was lost: read who holds these keys.
     Read(Vec<Claim>),
-    /// Delete this key if the store still holds this mark for it.
+    /// Delete this key if the store still holds this owner for it.
     Release(Claim),
     /// Send any read to the store, so that its restore from an older copy is detected.
     Check,
@@ -72,11 +72,11 @@
 
 /// Result of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum Completion {
     /// All keys were created.
     Applied,
     /// No key was created; the holders of the keys, in the order of the write.
-    Conflict(Vec<Option<Mark>>),
+    Conflict(Vec<Option<Owner>>),
     /// The write certainly had no effect.
     NotApplied,
     /// The reply was lost; the write may have taken effect, or may still do so.
@@ -149,7 +149,7 @@
     }
 
     /// Requests a claim; the verdict is returned through [`Action::Answer`].
-    pub fn ask(&mut self, ticket: Ticket, claim: Claim, deadline: Instant) {
+    pub fn submit(&mut self, ticket: Ticket, claim: Claim, deadline: Instant) {
         let waiter = Waiter {
             ticket,
             claim,
@@ -170,7 +170,7 @@
     /// retry of the request runs a second time. Claims granted to this node within the maximum age
     /// of a copy are written again, and nothing is granted until every node has had time to detect
     /// the restore and do the same.
-    pub fn store_returned(&mut self, now: Instant) {
+    pub fn store_restored(&mut self, now: Instant) {
         self.doubtful_until = Some(now + self.settings.doubtful_for);
         self.expire_grants(now);
         for grant in &mut self.grants {
@@ -233,17 +233,17 @@
     }
 
     /// Records the result of the write in flight.
-    pub fn written(&mut self, written: Written) {
+    pub fn write_finished(&mut self, written: Completion) {
         let waiters = match std::mem::replace(&mut self.call, Call::Idle) {
             Call::Writing(waiters) => waiters,
             Call::Rewriting(claims) => return self.rewrite_finished(&claims, &written),
             _ => return,
         };
         match written {
-            Written::Applied => self.answer_all(waiters, Verdict::Granted),
-            Written::NotApplied => self.answer_all(waiters, Verdict::Unavailable),
-            Written::Conflict(holders) => self.resolve_conflict(waiters, &holders),
-            Written::Lost => self.call = Call::ReadDue(waiters),
+            Completion::Applied => self.answer_all(waiters, Verdict::Granted),
+            Completion::NotApplied => self.answer_all(waiters, Verdict::Unavailable),
+            Completion::Conflict(holders) => self.resolve_conflict(waiters, &holders),
+            Completion::Lost => self.call = Call::ReadDue(waiters),
         }
     }
 
@@ -251,17 +251,17 @@
     /// it failed.
     ///
     /// Failure: a write takes effect and its reply is lost. Symptom: the key is held, and this node
-    /// does not know by which request. The mark that is read back identifies the holder. A key that
-    /// is read as free may still be claimed by the lost write, so its request is refused as not
-    /// run, and the key is released.
-    pub fn read(&mut self, holders: Option<&[Option<Mark>]>) {
+    /// does not know by which request. The owner that is read back identifies the holder. A key
+    /// that is read as free may still be claimed by the lost write, so its request is refused as
+    /// not run, and the key is released.
+    pub fn read_finished(&mut self, holders: Option<&[Option<Owner>]>) {
         let Call::Reading(waiters) = std::mem::replace(&mut self.call, Call::Idle) else {
             return;
         };
         for (index, waiter) in waiters.into_iter().enumerate() {
             let holder = holders.and_then(|holders| holders.get(index));
             let verdict = match holder {
-                Some(Some(mark)) if *mark == waiter.claim.mark => Verdict::Granted,
+                Some(Some(owner)) if *owner == waiter.claim.owner => Verdict::Granted,
                 Some(Some(_)) => Verdict::Duplicate,
                 Some(None) | None => {
                     self.release(waiter.claim.clone());
@@ -273,14 +273,14 @@
     }
 
     /// Records the end of the check in flight, whether it succeeded or failed.
-    pub fn checked(&mut self) {
+    pub fn check_finished(&mut self) {
         if matches!(self.call, Call::Checking) {
             self.call = Call::Idle;
         }
     }
 
     /// Records the end of the release in flight, whether it succeeded or failed.
-    pub fn released(&mut self) {
+    pub fn release_finished(&mut self) {
         if matches!(self.call, Call::Releasing) {
             self.call = Call::Idle;
         }
@@ -327,13 +327,13 @@
             .any(|waiter| waiter.claim.key == claim.key)
     }
 
-    /// Answers the waiters of a write that was rejected because some keys are held. The mark of each
-    /// holder distinguishes a request's own claim from a duplicate. Waiters of free keys are queued
-    /// again.
-    fn resolve_conflict(&mut self, waiters: Vec<Waiter>, holders: &[Option<Mark>]) {
+    /// Answers the waiters of a write that was rejected because some keys are held. The owner
+    /// of each key distinguishes a request's own claim from a duplicate. Waiters of free keys are
+    /// queued again.
+    fn resolve_conflict(&mut self, waiters: Vec<Waiter>, holders: &[Option<Owner>]) {
         for (index, waiter) in waiters.into_iter().enumerate().rev() {
             match holders.get(index) {
-                Some(Some(mark)) if *mark == waiter.claim.mark => {
+                Some(Some(owner)) if *owner == waiter.claim.owner => {
                     self.answers.push_back((waiter, Verdict::Granted));
                 }
                 Some(Some(_)) => self.answers.push_back((waiter, Verdict::Duplicate)),
@@ -384,12 +384,12 @@
 
     /// Records the result of writing granted claims again. A key that has a holder, whoever it is,
     /// counts as stored; all others are written again.
-    fn rewrite_finished(&mut self, claims: &[Claim], written: &Written) {
+    fn rewrite_finished(&mut self, claims: &[Claim], written: &Completion) {
         for (index, claim) in claims.iter().enumerate() {
             let is_held = match written {
-                Written::Applied => true,
-                Written::Conflict(holders) => holders.get(index).is_some_and(Option::is_some),
-                Written::NotApplied | Written::Lost => false,
+                Completion::Applied => true,
+                Completion::Conflict(holders) => holders.get(index).is_some_and(Option::is_some),
+                Completion::NotApplied | Completion::Lost => false,
             };
             if is_held {
                 let same = self
--- a/crates/core/tests/claim.rs
+++ b/crates/core/tests/claim.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use mintridge_core::claim::{Action, Claim, Claims, Key, Mark, Ticket, Verdict, Written};
+use mintridge_core::claim::{Action, Claim, Claims, Completion, Key, Owner, Ticket, Verdict};
 use mintridge_core::configs::claim::Settings;
 use rstest::rstest;
 
-fn claim(key: &str, mark: &str) -> Claim {
+fn claim(key: &str, owner: &str) -> Claim {
     Claim {
         key: Key(Arc::from(key)),
-        mark: Mark(Arc::from(mark)),
+        owner: Owner(Arc::from(owner)),
     }
 }
 
@@ -28,7 +28,7 @@
 
 /// A fake store that handles each write by its fate.
 struct Store {
-    keys: BTreeMap<Key, Mark>,
+    keys: BTreeMap<Key, Owner>,
     fates: Vec<Fate>,
     late: Vec<Claim>,
     readable: bool,
@@ -46,40 +46,40 @@
         }
     }
 
-    fn write(&mut self, claims: &[Claim]) -> Written {
+    fn write(&mut self, claims: &[Claim]) -> Completion {
         self.writes += 1;
         let fate = self.fates.pop().unwrap_or(Fate::Applied);
         if fate == Fate::Refused {
-            return Written::NotApplied;
+            return Completion::NotApplied;
         }
         if fate == Fate::Late {
             self.late.extend_from_slice(claims);
         }
         if fate == Fate::NeverArrived || fate == Fate::Late {
-            return Written::Lost;
+            return Completion::Lost;
         }
-        let holders: Vec<Option<Mark>> = claims
+        let holders: Vec<Option<Owner>> = claims
             .iter()
             .map(|c| self.keys.get(&c.key).cloned())
             .collect();
         if holders.iter().any(Option::is_some) {
             return if fate == Fate::ReplyLost {
-                Written::Lost
+                Completion::Lost
             } else {
-                Written::Conflict(holders)
+                Completion::Conflict(holders)
             };
         }
         for claim in claims {
-            self.keys.insert(claim.key.clone(), claim.mark.clone());
+            self.keys.insert(claim.key.clone(), claim.owner.clone());
         }
         if fate == Fate::ReplyLost {
-            Written::Lost
+            Completion::Lost
         } else {
-            Written::Applied
+            Completion::Applied
         }
     }
 
-    fn read(&self, claims: &[Claim]) -> Option<Vec<Option<Mark>>> {
+    fn read(&self, claims: &[Claim]) -> Option<Vec<Option<Owner>>> {
         self.readable.then(|| {
             claims
                 .iter()
@@ -90,7 +90,7 @@
 
     fn apply_late(&mut self) {
         for claim in self.late.drain(..) {
-            self.keys.entry(claim.key).or_insert(claim.mark);
+            self.keys.entry(claim.key).or_insert(claim.owner);
         }
     }
 }
@@ -103,19 +103,19 @@
             Action::Answer(ticket, verdict) => answers.push((ticket, verdict)),
             Action::Write(batch) => {
                 let written = store.write(&batch);
-                claims.written(written);
+                claims.write_finished(written);
             }
             Action::Read(batch) => {
                 let holders = store.read(&batch);
-                claims.read(holders.as_deref());
+                claims.read_finished(holders.as_deref());
             }
             Action::Release(claim) => {
-                if store.keys.get(&claim.key) == Some(&claim.mark) {
+                if store.keys.get(&claim.key) == Some(&claim.owner) {
                     store.keys.remove(&claim.key);
                 }
-                claims.released();
+                claims.release_finished();
             }
-            Action::Check => claims.checked(),
+            Action::Check => claims.check_finished(),
         }
     }
     answers
@@ -135,15 +135,15 @@
 #[case::never_arrived(Fate::NeverArrived, Verdict::Unavailable, Verdict::Granted)]
 #[case::refused(Fate::Refused, Verdict::Unavailable, Verdict::Granted)]
 #[case::late(Fate::Late, Verdict::Unavailable, Verdict::Granted)]
-fn ask_grants_a_key_once(#[case] fate: Fate, #[case] first: Verdict, #[case] second: Verdict) {
+fn submit_grants_a_key_once(#[case] fate: Fate, #[case] first: Verdict, #[case] second: Verdict) {
     let now = Instant::now();
     let deadline = now + Duration::from_secs(5);
     let mut store = Store::new(&[fate]);
     let mut one = claims(now);
-    one.ask(Ticket(1), claim("key", "one"), deadline);
+    one.submit(Ticket(1), claim("key", "one"), deadline);
     assert_eq!(run(&mut one, &mut store, now), [(Ticket(1), first)]);
     let mut other = claims(now);
-    other.ask(Ticket(2), claim("key", "two"), deadline);
+    other.submit(Ticket(2), claim("key", "two"), deadline);
     assert_eq!(run(&mut other, &mut store, now), [(Ticket(2), second)]);
     store.apply_late();
     assert_eq!(store.keys.len(), 1, "the key has one holder");
@@ -152,13 +152,13 @@
 /// A write takes effect, its reply is lost, and the store cannot be read. The request is refused as
 /// not run, and a retry is not run either while the store holds the key.
 #[test]
-fn ask_without_confirmation_is_unavailable() {
+fn submit_without_confirmation_is_unavailable() {
     let now = Instant::now();
     let deadline = now + Duration::from_secs(5);
     let mut store = Store::new(&[Fate::ReplyLost]);
     store.readable = false;
     let mut one = claims(now);
-    one.ask(Ticket(1), claim("key", "one"), deadline);
+    one.submit(Ticket(1), claim("key", "one"), deadline);
     // The release that follows is best effort; in this test it does not reach the store.
     let mut answers = Vec::new();
     while let Some(action) = one.poll(now) {
@@ -166,17 +166,17 @@
             Action::Answer(ticket, verdict) => answers.push((ticket, verdict)),
             Action::Write(batch) => {
                 let written = store.write(&batch);
-                one.written(written);
+                one.write_finished(written);
             }
-            Action::Read(_) => one.read(None),
+            Action::Read(_) => one.read_finished(None),
             Action::Release(_) => break,
-            Action::Check => one.checked(),
+            Action::Check => one.check_finished(),
         }
     }
     assert_eq!(answers, [(Ticket(1), Verdict::Unavailable)]);
     store.readable = true;
     let mut other = claims(now);
-    other.ask(Ticket(2), claim("key", "two"), deadline);
+    other.submit(Ticket(2), claim("key", "two"), deadline);
     assert_eq!(
         run(&mut other, &mut store, now),
         [(Ticket(2), Verdict::Duplicate)]
@@ -184,13 +184,13 @@
 }
 
 #[test]
-fn ask_for_the_same_key_at_once_is_a_duplicate() {
+fn submit_for_the_same_key_at_once_is_a_duplicate() {
     let now = Instant::now();
     let deadline = now + Duration::from_secs(5);
     let mut store = Store::new(&[]);
     let mut one = claims(now);
-    one.ask(Ticket(1), claim("key", "one"), deadline);
-    one.ask(Ticket(2), claim("key", "two"), deadline);
+    one.submit(Ticket(1), claim("key", "one"), deadline);
+    one.submit(Ticket(2), claim("key", "two"), deadline);
     let mut answers = run(&mut one, &mut store, now);
     answers.sort_by_key(|(ticket, _)| ticket.0);
     assert_eq!(
@@ -203,15 +203,15 @@
 }
 
 /// The entry node sends a request to a second host only after the first has certainly refused it.
-/// The second host finds the mark of the same request in the store and may proceed.
+/// The second host finds the owner of the same request in the store and may proceed.
 #[test]
-fn ask_with_the_same_mark_is_granted_again() {
+fn submit_with_the_same_owner_is_granted_again() {
     let now = Instant::now();
     let deadline = now + Duration::from_secs(5);
     let mut store = Store::new(&[]);
     for ticket in [Ticket(1), Ticket(2)] {
         let mut node = claims(now);
-        node.ask(ticket, claim("key", "one"), deadline);
+        node.submit(ticket, claim("key", "one"), deadline);
         assert_eq!(
             run(&mut node, &mut store, now),
             [(ticket, Verdict::Granted)]
@@ -220,16 +220,16 @@
 }
 
 #[test]
-fn ask_conflict_in_a_batch_grants_the_other_keys() {
+fn submit_conflict_in_a_batch_grants_the_other_keys() {
     let now = Instant::now();
     let deadline = now + Duration::from_secs(5);
     let mut store = Store::new(&[]);
     store
         .keys
-        .insert(Key(Arc::from("held")), Mark(Arc::from("other")));
+        .insert(Key(Arc::from("held")), Owner(Arc::from("other")));
     let mut node = claims(now);
     for (ticket, key) in [(1, "free-a"), (2, "held"), (3, "free-b")] {
-        node.ask(Ticket(ticket), claim(key, "mine"), deadline);
+        node.submit(Ticket(ticket), claim(key, "mine"), deadline);
     }
     let mut answers = run(&mut node, &mut store, now);
     answers.sort_by_key(|(ticket, _)| ticket.0);
@@ -241,15 +241,15 @@
 }
 
 #[test]
-fn release_frees_only_its_own_mark() {
+fn release_frees_only_its_owners_key() {
     let now = Instant::now();
     let mut store = Store::new(&[]);
     store
         .keys
-        .insert(Key(Arc::from("a")), Mark(Arc::from("mine")));
+        .insert(Key(Arc::from("a")), Owner(Arc::from("mine")));
     store
         .keys
-        .insert(Key(Arc::from("b")), Mark(Arc::from("other")));
+        .insert(Key(Arc::from("b")), Owner(Arc::from("other")));
     let mut node = claims(now);
     node.release(claim("a", "mine"));
     node.release(claim("b", "mine"));
@@ -276,7 +276,7 @@
         let now = started_at + Duration::from_millis(millisecond);
         let ticket = Ticket(millisecond);
         let deadline = now + Duration::from_secs(5);
-        node.ask(ticket, claim(&millisecond.to_string(), "mine"), deadline);
+        node.submit(ticket, claim(&millisecond.to_string(), "mine"), deadline);
         granted += run(&mut node, &mut store, now).len();
     }
     assert!(store.writes <= 12, "{} writes in a second", store.writes);
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn ask_past_its_deadline_is_unavailable() {
+fn submit_past_its_deadline_is_unavailable() {
     let settings = Settings {
         writes_burst: 0.0,
         ..Settings::default()
@@ -292,7 +292,7 @@
     let now = Instant::now();
     let mut node = Claims::new(settings, now);
     let deadline = now + Duration::from_millis(10);
-    node.ask(Ticket(1), claim("key", "one"), deadline);
+    node.submit(Ticket(1), claim("key", "one"), deadline);
     assert_eq!(node.poll(now), None);
     assert!(node.wake_at().is_some_and(|at| at <= deadline));
     assert_eq!(
@@ -307,7 +307,7 @@
     let mut store = Store::new(&[]);
     let mut one = claims(now);
     let deadline = now + Duration::from_secs(5);
-    one.ask(Ticket(1), claim("key", "one"), deadline);
+    one.submit(Ticket(1), claim("key", "one"), deadline);
     assert_eq!(
         run(&mut one, &mut store, now),
         [(Ticket(1), Verdict::Granted)]
@@ -320,23 +320,23 @@
 /// through another node. That node answers "doubtful" until the first node has had time to write
 /// the claim again; after that it finds the key held.
 #[test]
-fn store_returned_grants_no_key_that_was_lost() {
+fn store_restored_grants_no_key_that_was_lost() {
     let lost_at = Instant::now();
     let (mut store, mut one) = lost_claim(lost_at);
     let mut other = claims(lost_at);
-    other.store_returned(lost_at);
+    other.store_restored(lost_at);
     let asked_at = lost_at + Duration::from_millis(10);
     let deadline = asked_at + Duration::from_secs(5);
-    other.ask(Ticket(2), claim("key", "two"), deadline);
+    other.submit(Ticket(2), claim("key", "two"), deadline);
     assert_eq!(
         run(&mut other, &mut store, asked_at),
         [(Ticket(2), Verdict::Doubtful)]
     );
     let detected_at = lost_at + Duration::from_secs(2);
-    one.store_returned(detected_at);
+    one.store_restored(detected_at);
     assert_eq!(run(&mut one, &mut store, detected_at), []);
     let later = lost_at + Settings::default().doubtful_for;
-    other.ask(
+    other.submit(
         Ticket(3),
         claim("key", "three"),
         later + Duration::from_secs(5),
@@ -350,13 +350,13 @@
 /// The store is restored from a copy while a write is in flight. The write takes effect, but the
 /// key may have been held before, so the request is not run.
 #[test]
-fn store_returned_during_a_write_grants_nothing() {
+fn store_restored_during_a_write_grants_nothing() {
     let now = Instant::now();
     let mut node = claims(now);
-    node.ask(Ticket(1), claim("key", "one"), now + Duration::from_secs(5));
+    node.submit(Ticket(1), claim("key", "one"), now + Duration::from_secs(5));
     assert!(matches!(node.poll(now), Some(Action::Write(_))));
-    node.store_returned(now);
-    node.written(Written::Applied);
+    node.store_restored(now);
+    node.write_finished(Completion::Applied);
     assert_eq!(
         node.poll(now),
         Some(Action::Answer(Ticket(1), Verdict::Doubtful))
@@ -369,28 +369,28 @@
 #[case::refused(Fate::Refused)]
 #[case::never_arrived(Fate::NeverArrived)]
 #[case::reply_lost(Fate::ReplyLost)]
-fn store_returned_rewrites_until_stored(#[case] fate: Fate) {
+fn store_restored_rewrites_until_stored(#[case] fate: Fate) {
     let now = Instant::now();
     let (mut store, mut one) = lost_claim(now);
     store.fates = vec![Fate::Applied, fate, fate];
-    one.store_returned(now);
+    one.store_restored(now);
     assert_eq!(run(&mut one, &mut store, now), []);
-    let mark = Mark(Arc::from("one"));
-    assert_eq!(store.keys.get(&Key(Arc::from("key"))), Some(&mark));
+    let owner = Owner(Arc::from("one"));
+    assert_eq!(store.keys.get(&Key(Arc::from("key"))), Some(&owner));
 }
 
 /// Neither a claim that is older than any copy nor a released one is written again.
 #[rstest]
 #[case::old(Duration::from_secs(31), false)]
 #[case::released(Duration::from_secs(1), true)]
-fn store_returned_drops_old_and_released_claims(#[case] after: Duration, #[case] released: bool) {
+fn store_restored_drops_old_and_released_claims(#[case] after: Duration, #[case] released: bool) {
     let now = Instant::now();
     let (mut store, mut one) = lost_claim(now);
     if released {
         one.release(claim("key", "one"));
     }
     let returned_at = now + after;
-    one.store_returned(returned_at);
+    one.store_restored(returned_at);
     assert_eq!(run(&mut one, &mut store, returned_at), []);
     assert!(store.keys.is_empty());
 }
@@ -398,15 +398,15 @@
 /// The store is restored twice before a claim is written again. The store rejects a transaction
 /// that names a key twice, so the key must be included once.
 #[test]
-fn store_returned_twice_writes_each_key_once() {
+fn store_restored_twice_writes_each_key_once() {
     let now = Instant::now();
     let (_, mut one) = lost_claim(now);
-    one.store_returned(now);
-    one.store_returned(now);
+    one.store_restored(now);
+    one.store_restored(now);
     let written = loop {
         match one.poll(now) {
             Some(Action::Write(batch)) => break batch,
-            Some(Action::Check) => one.checked(),
+            Some(Action::Check) => one.check_finished(),
             other => panic!("{other:?}"),
         }
     };
@@ -416,15 +416,15 @@
 /// The store is restored a second time while a claim is being written again. The write may be
 /// missing from the newly restored state, so it is repeated.
 #[test]
-fn store_returned_during_a_rewrite_writes_again() {
+fn store_restored_during_a_rewrite_writes_again() {
     let now = Instant::now();
     let (mut store, mut one) = lost_claim(now);
-    one.store_returned(now);
+    one.store_restored(now);
     while !matches!(one.poll(now), Some(Action::Write(_))) {
-        one.checked();
+        one.check_finished();
     }
-    one.store_returned(now);
-    one.written(Written::Applied);
+    one.store_restored(now);
+    one.write_finished(Completion::Applied);
     assert_eq!(run(&mut one, &mut store, now), []);
     assert_eq!(store.keys.len(), 1);
 }
--- a/crates/node/src/arrival.rs
+++ b/crates/node/src/arrival.rs
@@ -7,7 +7,7 @@
 use hyper::http::request::Parts;
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, header};
-use mintridge_core::claim::{Claim, Key, Mark};
+use mintridge_core::claim::{Claim, Key, Owner};
 use mintridge_core::fingerprint;
 use mintridge_core::outcome::Reason;
 use mintridge_core::route::{Kind, Table};
@@ -132,7 +132,7 @@
     let key = key(settings, &parts.headers)?.filter(|_| !parts.method.is_safe());
     let claim = key.map(|key| Claim {
         key: digest(&service, &client_account, key),
-        mark: Mark(Arc::clone(&number)),
+        owner: Owner(Arc::clone(&number)),
     });
     let deadline = now + allowed(settings, &parts.headers)?.min(treatment.timeout);
     let target = treatment.target.map_or(deadline, |target| now + target);
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use mintridge_core::claim::{Action, Claim, Claims, Mark, Ticket, Verdict, Written};
+use mintridge_core::claim::{Action, Claim, Claims, Completion, Owner, Ticket, Verdict};
 use mintridge_store::client::Client;
 use mintridge_store::epoch::{Epoch, Rise};
 use mintridge_store::operation::Freshness;
@@ -98,7 +98,7 @@
                 let ticket = Ticket(self.next_ticket);
                 self.next_ticket += 1;
                 self.answers.insert(ticket, answer);
-                self.claims.ask(ticket, claim, deadline);
+                self.claims.submit(ticket, claim, deadline);
             }
             Job::Release(claim) => self.claims.release(claim),
         }
@@ -114,21 +114,21 @@
             Action::Write(claims) => {
                 let written = self.write(&claims).await;
                 self.follow_epoch();
-                self.claims.written(written);
+                self.claims.write_finished(written);
             }
             Action::Read(claims) => {
                 let holders = self.read(&claims).await;
                 self.follow_epoch();
-                self.claims.read(holders.as_deref());
+                self.claims.read_finished(holders.as_deref());
             }
             Action::Check => {
                 self.check().await;
                 self.follow_epoch();
-                self.claims.checked();
+                self.claims.check_finished();
             }
             Action::Release(claim) => {
                 self.release(&claim).await;
-                self.claims.released();
+                self.claims.release_finished();
             }
         }
         true
@@ -145,7 +145,7 @@
                 "the store came back from an older copy: claims are written again, none is granted"
             );
             self.lease = None;
-            self.claims.store_returned(Instant::now());
+            self.claims.store_restored(Instant::now());
         }
         self.epoch = newest;
     }
@@ -169,9 +169,9 @@
         }
     }
 
-    async fn write(&mut self, claims: &[Claim]) -> Written {
+    async fn write(&mut self, claims: &[Claim]) -> Completion {
         let Some(lease) = self.lease().await else {
-            return Written::NotApplied;
+            return Completion::NotApplied;
         };
         let txn = wire::Txn {
             compare: claims.iter().map(absent).collect(),
@@ -180,21 +180,21 @@
         };
         self.context.metrics.store_call("claim");
         match self.store.etcd_txn(&txn).await {
-            Ok(reply) if reply.succeeded => Written::Applied,
-            Ok(reply) => Written::Conflict(holders(&reply)),
+            Ok(reply) if reply.succeeded => Completion::Applied,
+            Ok(reply) => Completion::Conflict(holders(&reply)),
             Err(error) => {
                 log::warn!(error:% = error, keys = claims.len(); "claims not confirmed");
                 self.lease = None;
                 if error.proves_no_effect() {
-                    Written::NotApplied
+                    Completion::NotApplied
                 } else {
-                    Written::Lost
+                    Completion::Lost
                 }
             }
         }
     }
 
-    async fn read(&self, claims: &[Claim]) -> Option<Vec<Option<Mark>>> {
+    async fn read(&self, claims: &[Claim]) -> Option<Vec<Option<Owner>>> {
         let txn = wire::Txn {
             success: claims.iter().map(range).collect(),
             ..wire::Txn::default()
@@ -208,7 +208,7 @@
         let unchanged = wire::Compare {
             key: keys::claim(&claim.key.0).into(),
             target: wire::Target::Value,
-            value: Some(claim.mark.0.as_bytes().to_vec()),
+            value: Some(claim.owner.0.as_bytes().to_vec()),
             ..wire::Compare::default()
         };
         let txn = wire::Txn {
@@ -242,13 +242,13 @@
     }
 }
 
-fn holders(reply: &wire::TxnReply) -> Vec<Option<Mark>> {
+fn holders(reply: &wire::TxnReply) -> Vec<Option<Owner>> {
     reply
         .responses
         .iter()
         .map(|response| {
             let found = response.response_range.as_ref()?.kvs.first()?;
-            Some(Mark(Arc::from(String::from_utf8_lossy(&found.value))))
+            Some(Owner(Arc::from(String::from_utf8_lossy(&found.value))))
         })
         .collect()
 }
@@ -265,7 +265,7 @@
 fn put(claim: &Claim, lease: i64) -> wire::Operation {
     wire::Operation::Put(wire::Put {
         key: keys::claim(&claim.key.0).into(),
-        value: claim.mark.0.as_bytes().to_vec(),
+        value: claim.owner.0.as_bytes().to_vec(),
         lease,
     })
 }
--- a/crates/node/src/headers.rs
+++ b/crates/node/src/headers.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
-use mintridge_core::claim::{Claim, Key, Mark};
+use mintridge_core::claim::{Claim, Key, Owner};
 use mintridge_core::load::Report;
 
 /// Prefix of all headers of mintridge; from outside they are dropped.
@@ -130,7 +130,7 @@
     let deadline = instant(now, headers, LEFT)?;
     let claim = text(headers, CLAIM).map(|key| Claim {
         key: Key(Arc::from(key)),
-        mark: Mark(Arc::clone(&request)),
+        owner: Owner(Arc::clone(&request)),
     });
     Ok(Head {
         service: Arc::from(required(headers, SERVICE)?),
--- a/crates/node/tests/at_most_once.rs
+++ b/crates/node/tests/at_most_once.rs
@@ -187,7 +187,7 @@
 }
 
 /// The claim takes effect in the store, and the reply is lost or says that the store is
-/// not available: the mark read back settles it, and the request runs once.
+/// not available: the owner read back settles it, and the request runs once.
 #[rstest]
 #[case::lost(Faults { lose_replies: 1, ..Faults::default() })]
 #[case::denied(Faults { deny_writes: 1, ..Faults::default() })]
