--- a/crates/http/src/pipeline.rs
+++ b/crates/http/src/pipeline.rs
@@ -1,10 +1,10 @@
-//! HTTP/1.1 connections whose requests are worked on while earlier ones still run.
+//! HTTP/1.1 connections that handle pipelined requests concurrently.
 //!
-//! A caller may send further requests before the first is answered. A server connection of
-//! hyper reads the next request only after it has written the last answer, so each request
-//! would wait for all before it. Here two server connections of hyper share one socket: one
-//! reads requests and is given an empty answer at once, which is thrown away; the other
-//! writes the true answers, in order, and takes its requests from a list of stubs.
+//! A caller may send further requests before the first is answered. A hyper server connection
+//! reads the next request only after it has written the previous response, so each request would
+//! wait for all earlier ones. Here two hyper server connections share one socket. One reads the
+//! requests; its service returns an empty response at once, which is discarded. The other writes
+//! the actual responses in order and reads a stub request in place of each actual one.
 
 mod body;
 mod side;
@@ -35,46 +35,49 @@
 use crate::socket::has_unread;
 use crate::{Body, reply};
 
-/// How long the caller of a closed connection may pause before it is read no longer.
-const LINGER: Duration = Duration::from_millis(500);
-/// How long a closed connection is read at most: a large upload at ten megabits a second.
-const LINGER_MOST: Duration = Duration::from_secs(30);
-/// How long a connection that was accepted is kept for its first request while the listener
-/// closes: its caller was just told that it is connected, so a request is on its way.
-const FIRST_REQUEST_WITHIN: Duration = Duration::from_millis(500);
-/// How often a connection that is to be closed is looked at for bytes that have arrived.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
-/// Bytes thrown away at once while a connection lingers.
-const SCRATCH: usize = 4096;
+/// Maximum pause of the caller while a closed connection is still read.
+const LINGER_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum time for which a closed connection is still read. It suffices for a large upload at
+/// 10 Mbit/s.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long an accepted connection is kept open for its first request while the listener closes.
+/// The caller has just seen the connection succeed, so its request is probably on its way.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
+/// How often a connection that is about to be closed is checked for unread bytes.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Size of the buffers for reads from the socket, including the discarded bytes of a closed
+/// connection.
+const BUFFER_BYTES: usize = 4096;
 
-/// A request that was read and must be answered, in this order.
+/// A request that was read and awaits its response; responses keep the order of the requests.
 struct Pending {
     stub: &'static [u8],
-    answer: oneshot::Receiver<Response<Body>>,
-    /// What is left of its body is not read, so that nothing behind it is either.
+    response: oneshot::Receiver<Response<Body>>,
+    /// Set if the rest of the request body won't be read, so that no later request can be either.
     ends_connection: Arc<AtomicBool>,
 }
 
-/// What the two sides of a connection share.
+/// State that the reading and the writing side of a connection share.
 struct Shared {
-    /// Time for a header section to arrive.
-    header_within: Duration,
-    /// Requests read and not yet answered.
+    /// Maximum time for a header section to arrive.
+    header_timeout: Duration,
+    /// Number of requests that were read and whose response has not been passed to hyper.
     unanswered: AtomicUsize,
-    /// Whether any request was read.
-    used: AtomicBool,
-    /// No further request is taken.
+    /// Whether at least one request was read.
+    has_request: AtomicBool,
+    /// Set once no further request is accepted.
     stopped: AtomicBool,
-    /// Since when all that was read is answered; none while an answer is being written.
+    /// Time since which all requests read are answered; `None` while a response is awaited or
+    /// written.
     idle_since: Mutex<Option<Instant>>,
-    /// Stubs that the writing side has read, with their answers.
-    begun: Mutex<VecDeque<Pending>>,
+    /// Requests whose stub the writing side has read and whose response it has yet to take.
+    awaiting_response: Mutex<VecDeque<Pending>>,
     phase: watch::Receiver<Phase>,
 }
 
 impl Shared {
-    /// Notes whether all that was read is answered.
-    fn note_idle(&self, is_idle: bool) {
+    /// Records whether all requests read are answered.
+    fn set_idle(&self, is_idle: bool) {
         let mut idle_since = self.idle_since.lock();
         if is_idle {
             idle_since.get_or_insert_with(Instant::now);
@@ -83,31 +86,32 @@
         }
     }
 
-    /// Until when the next header section may be awaited at least.
+    /// Returns the earliest time at which the timeout of the next header section may fire.
     ///
-    /// Failure: a request takes nearly as long as the next header section may. Symptom: its answer
-    /// says nothing of an end, and the connection ends right behind it, with the caller's next
-    /// request on its way. The time is counted from the end of the last answer. One that is not
-    /// begun yet can still say that the connection ends, so it holds off nothing.
-    fn next_header_by(&self) -> Option<Instant> {
+    /// Failure: a request takes nearly as long as the header timeout. Symptom: its response lacks
+    /// `connection: close`, yet the connection closes right after it, while the caller's next
+    /// request is on its way. The timeout therefore starts at the end of the last response. A
+    /// response that has not started can still carry `connection: close`, so while one is due the
+    /// timeout isn't postponed.
+    fn header_timeout_not_before(&self) -> Option<Instant> {
         if self.unanswered.load(Ordering::Relaxed) > 0 {
             return None;
         }
         let idle_since = self.idle_since.lock().unwrap_or_else(Instant::now);
-        Some(idle_since + self.header_within)
+        Some(idle_since + self.header_timeout)
     }
 }
 
 /// Serves one connection.
 ///
-/// At most `most` requests are worked on at once; further ones wait in the socket. When the
-/// caller goes away, all its requests are dropped. In phase [`Phase::Leaving`] the
-/// connection ends with the last answer due; in [`Phase::Closing`] it also ends when idle.
+/// Handles up to `max_in_progress` requests concurrently; further ones wait in the socket. When the
+/// caller disconnects, all its requests are dropped. In phase [`Phase::Leaving`] the connection
+/// closes after the last pending response; in [`Phase::Closing`] it also closes when idle.
 pub async fn serve<F, R>(
     stream: TcpStream,
     builder: &http1::Builder,
-    most: usize,
-    header_within: Duration,
+    max_in_progress: usize,
+    header_timeout: Duration,
     phase: watch::Receiver<Phase>,
     respond: F,
 ) where
@@ -117,23 +121,30 @@
     let caller = stream.peer_addr().ok();
     let stream = Arc::new(stream);
     let shared = Arc::new(Shared {
-        header_within,
+        header_timeout,
         unanswered: AtomicUsize::new(0),
-        used: AtomicBool::new(false),
+        has_request: AtomicBool::new(false),
         stopped: AtomicBool::new(false),
         idle_since: Mutex::new(Some(Instant::now())),
-        begun: Mutex::default(),
+        awaiting_response: Mutex::default(),
         phase: phase.clone(),
     });
     let (sender, pending) = mpsc::unbounded_channel();
-    let reading = read(&stream, builder, most, Arc::clone(&shared), sender, respond);
+    let reading = read(
+        &stream,
+        builder,
+        max_in_progress,
+        Arc::clone(&shared),
+        sender,
+        respond,
+    );
     let writing = write(&stream, builder.clone(), shared, pending);
     let mut unread = 0;
     tokio::select! {
         () = reading => {}
         () = writing => {
             let lingering = linger(&stream, &mut unread);
-            let _ = tokio::time::timeout(LINGER_MOST, lingering).await;
+            let _ = tokio::time::timeout(LINGER_TIMEOUT, lingering).await;
         }
     }
     if unread > 0 {
@@ -141,21 +152,22 @@
             caller:? = caller,
             bytes = unread,
             phase:? = *phase.borrow();
-            "connection closed with bytes of its caller unread"
+            "connection closed with unread bytes from the caller"
         );
     }
 }
 
-/// Reads requests and works on them; returns when the caller has gone.
+/// Reads and handles requests; returns when the caller has disconnected.
 ///
-/// Failure: a request takes longer than the next may be awaited, or what follows it cannot be read
-/// as one. Symptom: the request in progress is dropped without an answer, or is answered as if the
-/// connection lived on, and the next one is lost. Either ends the reading alone; what was read is
-/// answered, and the last answer says that the connection ends.
+/// Failure: a request takes longer than the header timeout of the next one, or is followed by
+/// bytes that aren't a valid request. Symptom: the request in progress is dropped without a
+/// response, or its response lacks `connection: close` and the next request is lost. Such a timeout
+/// or parse error therefore stops only the reading: the requests read so far are answered, and the
+/// last response carries `connection: close`.
 async fn read<F, R>(
     stream: &Arc<TcpStream>,
     builder: &http1::Builder,
-    most: usize,
+    max_in_progress: usize,
     shared: Arc<Shared>,
     sender: mpsc::UnboundedSender<Pending>,
     respond: F,
@@ -163,43 +175,43 @@
     F: Fn(Request<Body>) -> R,
     R: Future<Output = Response<Body>> + Send + 'static,
 {
-    let first_by = Instant::now() + FIRST_REQUEST_WITHIN;
+    let first_request_deadline = Instant::now() + FIRST_REQUEST_TIMEOUT;
     let mut phase = shared.phase.clone();
-    let working = Arc::new(Semaphore::new(most));
+    let permits = Arc::new(Semaphore::new(max_in_progress));
     let tasks = Mutex::new(JoinSet::new());
     let service = service_fn(|request: Request<Incoming>| {
-        let (request, rest) = track(request);
+        let (request, remainder) = track(request);
         let stub = stub(&request);
-        let (answer, answered) = oneshot::channel();
-        shared.used.store(true, Ordering::Relaxed);
+        let (response_sender, response_receiver) = oneshot::channel();
+        shared.has_request.store(true, Ordering::Relaxed);
         let accepted = !shared.stopped.load(Ordering::Relaxed);
         if accepted {
             shared.unanswered.fetch_add(1, Ordering::Relaxed);
             let pending = Pending {
                 stub,
-                answer: answered,
-                ends_connection: rest.ends_connection(),
+                response: response_receiver,
+                ends_connection: remainder.ends_connection(),
             };
             let _ = sender.send(pending);
-            let working = Arc::clone(&working);
-            let response = respond(request);
+            let permits = Arc::clone(&permits);
+            let response_future = respond(request);
             let mut tasks = tasks.lock();
             while tasks.try_join_next().is_some() {}
             tasks.spawn(async move {
-                let _permit = working.acquire_owned().await;
-                let _ = answer.send(response.await);
+                let _permit = permits.acquire_owned().await;
+                let _ = response_sender.send(response_future.await);
             });
         }
-        let working = Arc::clone(&working);
+        let permits = Arc::clone(&permits);
         let shared = Arc::clone(&shared);
         async move {
             if !accepted {
                 return std::future::pending().await;
             }
-            // Nothing behind it was read yet, so that any request unanswered is this one.
+            // No later request was read yet, so an unanswered request can only be this one.
             let is_answered = || shared.unanswered.load(Ordering::Relaxed) == 0;
-            rest.discard(is_answered).await;
-            drop(working.acquire().await);
+            remainder.discard(is_answered).await;
+            drop(permits.acquire().await);
             Ok::<_, Infallible>(Response::new(reply::empty()))
         }
     });
@@ -208,13 +220,13 @@
         shared: Arc::clone(&shared),
     };
     let mut builder = builder.clone();
-    let of_timer = Arc::clone(&shared);
-    let not_before = move || of_timer.next_header_by();
-    builder.timer(Timer::held_off(stream, not_before));
+    let timer_shared = Arc::clone(&shared);
+    let not_before = move || timer_shared.header_timeout_not_before();
+    builder.timer(Timer::with_not_before(stream, not_before));
     let mut connection = pin!(builder.serve_connection(io, service));
     let idle_when_closing = async {
-        closing(&mut phase).await;
-        until_idle(stream, &shared, first_by).await;
+        wait_until_closing(&mut phase).await;
+        wait_until_idle(stream, &shared, first_request_deadline).await;
     };
     let ended = tokio::select! {
         biased;
@@ -226,16 +238,16 @@
     };
     shared.stopped.store(true, Ordering::Relaxed);
     if let Err(error) = ended {
-        log::debug!(error:% = error; "caller's connection broke");
+        log::debug!(error:% = error; "failed to read a request from the caller");
         if !error.is_timeout() && !error.is_parse() {
             return;
         }
     }
     drop(sender);
-    until_gone(stream, &mut 0).await;
+    discard_until_closed(stream, &mut 0).await;
 }
 
-/// Writes answers in order; returns when all that were due are written.
+/// Writes responses in order; returns once all pending ones are written.
 async fn write(
     stream: &Arc<TcpStream>,
     mut builder: http1::Builder,
@@ -249,15 +261,15 @@
     };
     let service = service_fn(move |_: Request<Incoming>| {
         let shared = Arc::clone(&shared);
-        let next = shared.begun.lock().pop_front();
+        let next = shared.awaiting_response.lock().pop_front();
         async move {
             let pending = next.ok_or(Dropped)?;
-            let mut response = pending.answer.await.map_err(|_| Dropped)?;
-            let last = shared.unanswered.fetch_sub(1, Ordering::Relaxed) == 1;
-            let ends = pending.ends_connection.load(Ordering::Acquire);
+            let mut response = pending.response.await.map_err(|_| Dropped)?;
+            let is_last = shared.unanswered.fetch_sub(1, Ordering::Relaxed) == 1;
+            let ends_connection = pending.ends_connection.load(Ordering::Acquire);
             response.headers_mut().remove(CONNECTION);
             let stopped = shared.stopped.load(Ordering::Relaxed);
-            if last && (ends || stopped || *shared.phase.borrow() != Phase::Open) {
+            if is_last && (ends_connection || stopped || *shared.phase.borrow() != Phase::Open) {
                 shared.stopped.store(true, Ordering::Relaxed);
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
@@ -265,65 +277,68 @@
             Ok::<_, Dropped>(response)
         }
     });
-    // Only the side that reads requests knows whether one is on its way.
+    // The header timeout applies to the reading side alone: it sees the actual requests.
     builder.header_read_timeout(None).half_close(true);
     let connection = builder.serve_connection(io, service);
     if let Err(error) = connection.await {
-        log::debug!(error:% = error; "answer not written whole");
+        log::debug!(error:% = error; "failed to write a complete response");
     }
 }
 
-/// The request was dropped without an answer.
+/// Error of a request that was dropped before its handler returned a response.
 #[derive(Debug, thiserror::Error)]
-#[error("the request was dropped without an answer")]
+#[error("the request was dropped without a response")]
 struct Dropped;
 
-/// Waits until the phase is closing.
-async fn closing(phase: &mut watch::Receiver<Phase>) {
-    let turned = phase
+/// Waits until the phase is [`Phase::Closing`]; never returns if the sender is dropped earlier.
+async fn wait_until_closing(phase: &mut watch::Receiver<Phase>) {
+    let is_closing = phase
         .wait_for(|phase| matches!(phase, Phase::Closing { .. }))
         .await
         .is_ok();
-    if !turned {
+    if !is_closing {
         std::future::pending::<()>().await;
     }
 }
 
-/// Waits until nothing that has arrived on a connection is unread, and its first request is not to
-/// be expected any more.
+/// Waits until the connection has no unread bytes, and either has received a request or the time
+/// for its first request has passed.
 ///
-/// Failure: the listener closes while the thread is busy. Symptom: a request lies in the buffer of
-/// an idle connection, which is closed before anybody looks, and its caller gets no answer. The
-/// buffer is looked at right before the close, so that only a request still on its way can cross it.
-async fn until_idle(stream: &TcpStream, shared: &Shared, first_by: Instant) {
+/// Failure: the listener closes while the thread is busy. Symptom: an idle connection is closed
+/// while an unread request is in its receive buffer, and the caller gets no response. The buffer is
+/// checked right before the close, so only a request that has not arrived yet can be lost.
+async fn wait_until_idle(stream: &TcpStream, shared: &Shared, first_request_deadline: Instant) {
     loop {
-        let is_new = !shared.used.load(Ordering::Relaxed) && Instant::now() < first_by;
-        if !is_new && !has_unread(stream) {
+        let awaits_first_request =
+            !shared.has_request.load(Ordering::Relaxed) && Instant::now() < first_request_deadline;
+        if !awaits_first_request && !has_unread(stream) {
             return;
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Reads what the caller still sends on a closed connection, until it is gone or pauses.
+/// Discards what the caller still sends on a closed connection, until it disconnects or pauses.
 ///
-/// Failure: a large upload is refused, and its caller sends all of it before it reads the answer.
-/// Symptom: bytes that nobody reads reset the connection and take the answer with them.
+/// Failure: a large upload is refused, and its caller sends all of it before it reads the response.
+/// Symptom: the unread bytes make the system reset the connection, and the response is lost.
+/// Reading on avoids the reset.
 async fn linger(stream: &TcpStream, unread: &mut usize) {
     loop {
         let before = *unread;
-        let gone = tokio::time::timeout(LINGER, until_gone(stream, unread)).await;
-        if gone.is_ok() || *unread == before {
+        let closed =
+            tokio::time::timeout(LINGER_IDLE_TIMEOUT, discard_until_closed(stream, unread)).await;
+        if closed.is_ok() || *unread == before {
             return;
         }
     }
 }
 
-/// Reads and throws away until the caller closes its side, counting the bytes.
-async fn until_gone(stream: &TcpStream, unread: &mut usize) {
-    let mut scratch = [0_u8; SCRATCH];
+/// Reads and discards bytes until the caller closes its side; adds their number to `unread`.
+async fn discard_until_closed(stream: &TcpStream, unread: &mut usize) {
+    let mut buffer = [0_u8; BUFFER_BYTES];
     while stream.readable().await.is_ok() {
-        match stream.try_read(&mut scratch) {
+        match stream.try_read(&mut buffer) {
             Ok(0) => return,
             Ok(read) => *unread += read,
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -332,8 +347,8 @@
     }
 }
 
-/// The request that the writing side reads in place of the true one: its method and version
-/// decide how an answer is written.
+/// Returns the request that the writing side reads in place of the actual one. It has the same
+/// method and version, since these determine how hyper writes the response.
 fn stub(request: &Request<Body>) -> &'static [u8] {
     match (request.method() == Method::HEAD, request.version()) {
         (false, Version::HTTP_10) => b"GET / HTTP/1.0\r\n\r\n",
--- a/crates/http/src/pipeline/body.rs
+++ b/crates/http/src/pipeline/body.rs
@@ -1,4 +1,4 @@
-//! A caller's request body, and what becomes of it when its handler lets go of it.
+//! Request bodies that return their unread remainder when the handler drops them.
 
 use std::future::pending;
 use std::pin::Pin;
@@ -16,87 +16,90 @@
 
 use crate::{Body, reply};
 
-/// Most bytes of a body that are read for nothing, so that the connection lives on: less than a
-/// second of a link of 10 Mbit/s.
-const DISCARDED_MOST: u64 = 1024 * 1024;
-/// How long a caller may pause within a body that is read for nothing.
-const DISCARD_IDLE: Duration = Duration::from_secs(5);
+/// Maximum size of a body that is read and discarded to keep the connection open. It takes less
+/// than a second on a 10 Mbit/s link.
+const MAX_DISCARDED_BYTES: u64 = 1024 * 1024;
+/// Maximum pause of the caller within a body that is discarded.
+const DISCARD_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A request body that tells what its handler left of it.
+/// A request body that hands over its unread remainder when it is dropped.
 struct Tracked {
     body: Option<Incoming>,
-    /// The caller sends it only once it is asked to, which a first read does.
-    unasked: bool,
-    left: Option<oneshot::Sender<Incoming>>,
+    /// Whether the caller waits for `100 Continue`, which hyper sends on the first read.
+    awaits_continue: bool,
+    remainder_sender: Option<oneshot::Sender<Incoming>>,
     ends_connection: Arc<AtomicBool>,
 }
 
-/// What is left of a request's body.
+/// The unread remainder of a request body.
 ///
-/// Failure: a handler answers before it has read the body. Symptom: nobody reads the rest, so
-/// the next request behind it cannot be found, and one that its caller sends on this connection
-/// is lost. A short rest is read for nothing; before a longer one the answer says that the
-/// connection ends.
-pub struct Rest {
-    left: oneshot::Receiver<Incoming>,
+/// Failure: a handler responds before it has read the body. Symptom: the remainder stays unread,
+/// so the start of the next request is not found, and a request that the caller sends on this
+/// connection is lost. A short remainder is read and discarded; with a longer one the response
+/// carries `connection: close`.
+pub struct Remainder {
+    receiver: oneshot::Receiver<Incoming>,
     ends_connection: Arc<AtomicBool>,
 }
 
-/// Gives the request a body that tells what is left of it.
-pub fn track(request: Request<Incoming>) -> (Request<Body>, Rest) {
-    let (sender, left) = oneshot::channel();
+/// Replaces the body of the request by one that hands its unread remainder to the [`Remainder`].
+pub fn track(request: Request<Incoming>) -> (Request<Body>, Remainder) {
+    let (sender, receiver) = oneshot::channel();
     let ends_connection = Arc::new(AtomicBool::new(false));
-    let rest = Rest {
-        left,
+    let remainder = Remainder {
+        receiver,
         ends_connection: Arc::clone(&ends_connection),
     };
-    let unasked = waits_to_be_asked(request.headers());
+    let awaits_continue = expects_continue(request.headers());
     let request = request.map(|body| {
         if body.is_end_stream() {
             return reply::empty();
         }
         reply::from_incoming(Tracked {
             body: Some(body),
-            unasked,
-            left: Some(sender),
+            awaits_continue,
+            remainder_sender: Some(sender),
             ends_connection,
         })
     });
-    (request, rest)
+    (request, remainder)
 }
 
-fn waits_to_be_asked(headers: &HeaderMap) -> bool {
+fn expects_continue(headers: &HeaderMap) -> bool {
     let expected = headers.get(EXPECT);
     expected.is_some_and(|expected| expected.as_bytes().eq_ignore_ascii_case(b"100-continue"))
 }
 
-impl Rest {
-    /// Whether the connection must end with the answer to this request; true at once when the
-    /// handler lets go of the body.
+impl Remainder {
+    /// Returns the flag that tells whether the connection must close after the response to this
+    /// request. It is set as soon as the handler drops the body.
     pub fn ends_connection(&self) -> Arc<AtomicBool> {
         Arc::clone(&self.ends_connection)
     }
 
-    /// Waits until the handler has let go of the body and the connection may go on behind it.
+    /// Waits until the handler has dropped the body and discards the remainder; never returns if
+    /// the connection must close instead.
     ///
-    /// A caller that was answered without a word of an end counts on the connection, so that the
-    /// rest is read then, however long it is.
+    /// Once the response was sent without `connection: close`, the caller may reuse the connection,
+    /// so the remainder is then discarded whatever its length.
     pub async fn discard(self, is_answered: impl Fn() -> bool) {
-        let Ok(mut body) = self.left.await else {
+        let Ok(mut body) = self.receiver.await else {
             return;
         };
         if self.ends_connection.load(Ordering::Acquire) && !is_answered() {
             return pending().await;
         }
-        while let Ok(Some(Ok(_))) = tokio::time::timeout(DISCARD_IDLE, body.frame()).await {}
+        while let Ok(Some(Ok(_))) = tokio::time::timeout(DISCARD_IDLE_TIMEOUT, body.frame()).await {
+        }
     }
 }
 
 impl Tracked {
-    /// Whether a caller can be told that its connection lives on.
-    fn is_short(&self, body: &Incoming) -> bool {
-        let most = body.size_hint().upper();
-        !self.unasked && most.is_some_and(|most| most <= DISCARDED_MOST)
+    /// Whether the remainder may be discarded to keep the connection open.
+    fn is_discardable(&self, body: &Incoming) -> bool {
+        let upper_bound = body.size_hint().upper();
+        !self.awaits_continue
+            && upper_bound.is_some_and(|upper_bound| upper_bound <= MAX_DISCARDED_BYTES)
     }
 }
 
@@ -105,14 +108,14 @@
         let Some(body) = self.body.take() else {
             return;
         };
-        if !self.is_short(&body) {
+        if !self.is_discardable(&body) {
             self.ends_connection.store(true, Ordering::Release);
         }
-        // Reading on would ask for a body that nobody wants any more.
-        if !self.unasked
-            && let Some(left) = self.left.take()
+        // Reading the body would make hyper send `100 Continue` for a body that isn't needed.
+        if !self.awaits_continue
+            && let Some(sender) = self.remainder_sender.take()
         {
-            let _ = left.send(body);
+            let _ = sender.send(body);
         }
     }
 }
@@ -130,10 +133,10 @@
         };
         let frame = ready!(Pin::new(&mut *body).poll_frame(cx));
         let ended = matches!(frame, None | Some(Err(_))) || body.is_end_stream();
-        self.unasked = false;
+        self.awaits_continue = false;
         if ended {
             self.body = None;
-            self.left = None;
+            self.remainder_sender = None;
         }
         Poll::Ready(frame)
     }
--- a/crates/http/src/pipeline/side.rs
+++ b/crates/http/src/pipeline/side.rs
@@ -1,4 +1,4 @@
-//! The socket as each of the two server connections on it sees it.
+//! The two views of the socket, one for each hyper server connection on it.
 
 use std::io;
 use std::pin::Pin;
@@ -10,21 +10,22 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-use super::{Pending, SCRATCH, Shared};
+use super::{BUFFER_BYTES, Pending, Shared};
 use crate::socket;
 
-/// The socket as the reading side sees it: the empty answers written to it are thrown away.
+/// The socket of the reading side, which discards the empty responses written to it.
 ///
-/// What hyper answers by itself is not: the interim answer by which a caller is told to send
-/// its body, and the refusal of a request that it cannot read.
+/// Responses that hyper generates itself are sent: `100 Continue`, and the rejection of a request
+/// that it can't parse.
 pub(super) struct ReadSide {
     pub(super) stream: Arc<TcpStream>,
     pub(super) shared: Arc<Shared>,
 }
 
-/// How the empty answers begin.
-const EMPTY_ANSWER: &[u8] = b"HTTP/1.1 200 ";
-const EMPTY_ANSWER_OLD: &[u8] = b"HTTP/1.0 200 ";
+/// Prefix of the empty responses to HTTP/1.1 requests.
+const EMPTY_RESPONSE_PREFIX: &[u8] = b"HTTP/1.1 200 ";
+/// Prefix of the empty responses to HTTP/1.0 requests.
+const EMPTY_HTTP10_RESPONSE_PREFIX: &[u8] = b"HTTP/1.0 200 ";
 
 impl Read for ReadSide {
     fn poll_read(
@@ -32,10 +33,10 @@
         cx: &mut Context<'_>,
         mut buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut scratch = [0_u8; SCRATCH];
-        let room = buffer.remaining().min(SCRATCH);
-        let read = ready!(socket::poll_read(&self.stream, cx, &mut scratch[..room]))?;
-        buffer.put_slice(&scratch[..read]);
+        let mut bytes = [0_u8; BUFFER_BYTES];
+        let room = buffer.remaining().min(BUFFER_BYTES);
+        let read = ready!(socket::poll_read(&self.stream, cx, &mut bytes[..room]))?;
+        buffer.put_slice(&bytes[..read]);
         Poll::Ready(Ok(()))
     }
 }
@@ -46,10 +47,11 @@
         _: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let empty = bytes.starts_with(EMPTY_ANSWER) || bytes.starts_with(EMPTY_ANSWER_OLD);
-        let in_turn = self.shared.unanswered.load(Ordering::Relaxed) == 0;
-        let interim = bytes.starts_with(b"HTTP/1.1 100 ");
-        if interim || (!empty && in_turn) {
+        let is_empty_response = bytes.starts_with(EMPTY_RESPONSE_PREFIX)
+            || bytes.starts_with(EMPTY_HTTP10_RESPONSE_PREFIX);
+        let is_all_answered = self.shared.unanswered.load(Ordering::Relaxed) == 0;
+        let is_continue = bytes.starts_with(b"HTTP/1.1 100 ");
+        if is_continue || (!is_empty_response && is_all_answered) {
             self.stream.try_write(bytes)?;
         }
         Poll::Ready(Ok(bytes.len()))
@@ -64,7 +66,7 @@
     }
 }
 
-/// The socket as the writing side sees it: stubs are read in place of requests.
+/// The socket of the writing side, which reads stubs in place of the actual requests.
 pub(super) struct WriteSide {
     pub(super) stream: Arc<TcpStream>,
     pub(super) pending: mpsc::UnboundedReceiver<Pending>,
@@ -78,11 +80,11 @@
         mut buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let polled = self.pending.poll_recv(cx);
-        // The next stub is asked for once the answer before it is on its way.
-        self.shared.note_idle(polled.is_pending());
+        // Hyper reads the next stub once the previous response is written.
+        self.shared.set_idle(polled.is_pending());
         if let Some(pending) = ready!(polled) {
             buffer.put_slice(pending.stub);
-            self.shared.begun.lock().push_back(pending);
+            self.shared.awaiting_response.lock().push_back(pending);
         }
         Poll::Ready(Ok(()))
     }
--- a/crates/http/src/quiet_timer.rs
+++ b/crates/http/src/quiet_timer.rs
@@ -1,4 +1,4 @@
-//! Timers of one connection that do not elapse while bytes that have arrived on it are unread.
+//! Timers of a connection that do not fire while the connection has unread bytes.
 
 use std::fmt;
 use std::future::Future;
@@ -12,23 +12,24 @@
 
 use crate::socket::has_unread;
 
-/// How often a connection is looked at again while bytes on it are unread.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+/// How often a connection with unread bytes is checked again.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Makes timers for one connection.
+/// Creates the timers of one connection.
 ///
-/// Failure: the process is frozen or starved for longer than a timeout, and what was waited for has
-/// arrived meanwhile. Symptom: the runtime fires the timer before it has looked at the socket, and
-/// the connection ends with a request or an answer in its buffer. The system is asked instead.
+/// Failure: the process is frozen or starved for longer than a timeout, and the awaited bytes have
+/// arrived meanwhile. Symptom: the runtime fires the timer before it polls the socket, and the
+/// connection closes with a request or a response in its receive buffer. A timer therefore asks the
+/// operating system for unread bytes before it fires.
 ///
-/// It does not keep the connection open.
+/// The socket is referenced weakly, so a timer does not keep the connection open.
 #[derive(Clone)]
 pub struct Timer {
     stream: Weak<TcpStream>,
     not_before: NotBefore,
 }
 
-/// Tells the instant before which no timer of the connection may elapse, if there is one.
+/// Returns the time before which no timer of the connection may fire, if any.
 type NotBefore = Arc<dyn Fn() -> Option<Instant> + Send + Sync>;
 
 impl fmt::Debug for Timer {
@@ -38,16 +39,16 @@
 }
 
 impl Timer {
-    /// Makes timers for this connection.
+    /// Creates the timers of this connection.
     #[must_use]
     pub fn new(stream: &Arc<TcpStream>) -> Self {
-        Self::held_off(stream, || None)
+        Self::with_not_before(stream, || None)
     }
 
-    /// Makes timers for this connection that do not elapse before the instant that `not_before`
-    /// tells when their time is over.
+    /// Creates timers for this connection that do not fire before the time that `not_before`
+    /// returns. It is called when their deadline has passed.
     #[must_use]
-    pub fn held_off(
+    pub fn with_not_before(
         stream: &Arc<TcpStream>,
         not_before: impl Fn() -> Option<Instant> + Send + Sync + 'static,
     ) -> Self {
@@ -57,15 +58,15 @@
         }
     }
 
-    /// When to look again, if a timer whose time is over must not elapse yet.
-    fn again_at(&self, now: Instant) -> Option<Instant> {
+    /// Returns when to check again if a timer that has reached its deadline must not fire yet.
+    fn postponed_until(&self, now: Instant) -> Option<Instant> {
         if let Some(not_before) = (self.not_before)()
             && not_before > now
         {
             return Some(not_before);
         }
         let stream = self.stream.upgrade()?;
-        has_unread(&stream).then(|| now + LOOK_EVERY)
+        has_unread(&stream).then(|| now + POLL_INTERVAL)
     }
 }
 
@@ -75,32 +76,32 @@
     }
 
     fn sleep_until(&self, deadline: Instant) -> Pin<Box<dyn Sleep>> {
-        Box::pin(Quiet {
+        Box::pin(PostponableSleep {
             sleep: Box::pin(tokio::time::sleep_until(deadline.into())),
             timer: self.clone(),
         })
     }
 }
 
-/// Elapses once its time is over and nothing that has arrived is unread.
-struct Quiet {
+/// A sleep that ends once its deadline has passed and its [`Timer`] does not postpone it.
+struct PostponableSleep {
     sleep: Pin<Box<tokio::time::Sleep>>,
     timer: Timer,
 }
 
-impl Sleep for Quiet {}
+impl Sleep for PostponableSleep {}
 
-impl Future for Quiet {
+impl Future for PostponableSleep {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         loop {
             ready!(self.sleep.as_mut().poll(cx));
             let now = Instant::now();
-            let Some(again) = self.timer.again_at(now) else {
+            let Some(postponed_until) = self.timer.postponed_until(now) else {
                 return Poll::Ready(());
             };
-            self.sleep.as_mut().reset(again.into());
+            self.sleep.as_mut().reset(postponed_until.into());
         }
     }
 }
