--- a/crates/http/src/counted.rs
+++ b/crates/http/src/counted.rs
@@ -1,14 +1,14 @@
-//! Counts what is open at this moment.
+//! Counter of currently open items, such as connections.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Counts one more until it is dropped.
+/// Guard that increments a counter when created and decrements it when dropped.
 #[derive(Debug)]
 pub struct Counted(Arc<AtomicUsize>);
 
 impl Counted {
-    /// Counts one more here.
+    /// Increments `open` until the guard is dropped.
     #[must_use]
     pub fn new(open: Arc<AtomicUsize>) -> Self {
         open.fetch_add(1, Ordering::Relaxed);
--- a/crates/http/src/handler.rs
+++ b/crates/http/src/handler.rs
@@ -1,4 +1,4 @@
-//! A gotham handler that is a plain function over a shared context.
+//! Gotham handler that calls a plain function with a shared context.
 
 use std::panic::RefUnwindSafe;
 use std::pin::Pin;
@@ -10,17 +10,17 @@
 
 use crate::Body;
 
-/// What a handler function returns.
+/// Future that a handler function returns.
 pub type Answer = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
 
-/// A function from context and request to a response.
+/// Handler that passes a shared context and the request to a function.
 pub struct Function<C> {
     context: Arc<C>,
     run: fn(Arc<C>, Request<Body>) -> Answer,
 }
 
 impl<C> Function<C> {
-    /// Joins a context and a function.
+    /// Creates a handler from a context and a function.
     pub const fn new(context: Arc<C>, run: fn(Arc<C>, Request<Body>) -> Answer) -> Self {
         Self { context, run }
     }
@@ -35,8 +35,8 @@
     }
 }
 
-/// A panic in one request leaves the context to the others: it holds no lock across
-/// calls into foreign code, and its locks are not poisoned.
+/// After a panic in one request, the others can still use the context: no lock is held across
+/// calls into foreign code, and the locks of the context don't poison.
 impl<C> RefUnwindSafe for Function<C> {}
 
 impl<C: Send + Sync + 'static> NewHandler for Function<C> {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,7 @@
-//! Gotham handlers served on hyper-util connections.
+//! Serves gotham handlers on hyper-util connections.
 //!
-//! Gotham's own start functions set neither limits nor a graceful stop, so the
-//! connections are driven here and the handlers are gotham's.
+//! Gotham's own start functions support neither limits nor a graceful shutdown, so this crate
+//! drives the connections itself and uses gotham for the handlers only.
 
 pub mod counted;
 pub mod handler;
@@ -12,5 +12,5 @@
 pub mod server;
 pub mod socket;
 
-/// Body of requests and responses, as gotham defines it.
+/// Gotham's body type, used for requests and responses.
 pub type Body = gotham::helpers::http::Body;
--- a/crates/http/src/problem.rs
+++ b/crates/http/src/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals as HTTP: problem details (RFC 9457) and headers.
+//! HTTP representation of refusals: problem details (RFC 9457) and headers.
 
 use std::time::{Duration, Instant};
 
@@ -9,43 +9,43 @@
 
 use crate::{Body, reply};
 
-/// Carries [`Outcome`] on every refusal; no answer of an upstream has it.
+/// Header with the [`Outcome`], present on every refusal and on no response of an upstream.
 pub const OUTCOME: HeaderName = HeaderName::from_static("mintridge-outcome");
-/// Carries [`Reason`] on every refusal.
+/// Header with the [`Reason`], present on every refusal.
 pub const REASON: HeaderName = HeaderName::from_static("mintridge-reason");
-/// Names the hop that refused (RFC 9209).
+/// Header that names the proxy that refused the request (RFC 9209).
 pub const PROXY_STATUS: HeaderName = HeaderName::from_static("proxy-status");
 
-/// Body of a refusal.
+/// Problem details in the body of a refusal.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Problem {
-    /// Kind of problem, a URI reference.
+    /// Problem type, a URI reference.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The kind, for people.
+    /// Human-readable summary of the problem type.
     pub title: String,
     /// The HTTP status.
     pub status: u16,
     /// Whether the request may have had an effect.
     pub outcome: Outcome,
-    /// Why it was given up on.
+    /// Why the request was refused.
     pub reason: Reason,
-    /// The host whose node gave up.
+    /// The host whose node refused the request.
     pub host: String,
-    /// Number of the request, as in the logs.
+    /// Number of the request, as in the log lines.
     pub request: String,
 }
 
-/// How exactly `Retry-After` tells when to come back.
+/// Precision of the `Retry-After` header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Precision {
-    /// In whole seconds, as HTTP has it, rounded up: asking earlier would be too early.
+    /// Whole seconds, as HTTP specifies, rounded up so that callers don't retry too early.
     Seconds,
-    /// In thousandths of a second, for nodes and for callers known to understand it.
+    /// Seconds with three decimals, for nodes and for callers known to support it.
     Millis,
 }
 
-/// The response that tells a caller of a refusal.
+/// Returns the response to a refused request.
 #[must_use]
 pub fn response(
     now: Instant,
@@ -66,20 +66,20 @@
     };
     let mut response = reply::json(status, &problem);
     let headers = response.headers_mut();
-    let kind = HeaderValue::from_static("application/problem+json");
-    headers.insert(CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("application/problem+json");
+    headers.insert(CONTENT_TYPE, content_type);
     headers.insert(OUTCOME, HeaderValue::from_static(refusal.outcome.as_str()));
     headers.insert(REASON, HeaderValue::from_static(refusal.reason.as_str()));
-    let proxy = format!("mintridge; error={}", proxy_error(refusal.reason));
-    if let Ok(proxy) = HeaderValue::try_from(proxy) {
-        headers.insert(PROXY_STATUS, proxy);
+    let proxy_status = format!("mintridge; error={}", proxy_error(refusal.reason));
+    if let Ok(proxy_status) = HeaderValue::try_from(proxy_status) {
+        headers.insert(PROXY_STATUS, proxy_status);
     }
-    let left = refusal.retry_at.saturating_duration_since(now);
-    headers.insert(RETRY_AFTER, retry_after(left, precision));
+    let delay = refusal.retry_at.saturating_duration_since(now);
+    headers.insert(RETRY_AFTER, retry_after(delay, precision));
     response
 }
 
-/// Reads a refusal back from the headers of a response; `None` if it is an answer.
+/// Parses a refusal from the headers of a response; `None` if the response is not a refusal.
 #[must_use]
 pub fn read(now: Instant, headers: &HeaderMap) -> Option<Refusal> {
     let outcome = match headers.get(OUTCOME)?.to_str().ok()? {
@@ -96,7 +96,7 @@
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok())
         .and_then(|seconds| Duration::try_from_secs_f64(seconds).ok())
-        .map_or(now, |left| now + left);
+        .map_or(now, |delay| now + delay);
     Some(Refusal {
         outcome,
         reason,
@@ -111,7 +111,7 @@
     }
 }
 
-/// Error types registered for Proxy-Status.
+/// Returns the error type registered for `Proxy-Status`.
 const fn proxy_error(reason: Reason) -> &'static str {
     match reason {
         Reason::Busy | Reason::Late => "connection_limit_reached",
@@ -134,15 +134,15 @@
     }
 }
 
-fn retry_after(left: Duration, precision: Precision) -> HeaderValue {
+fn retry_after(delay: Duration, precision: Precision) -> HeaderValue {
     match precision {
         Precision::Seconds => {
-            let rounded = left.as_secs() + u64::from(left.subsec_nanos() > 0);
+            let rounded = delay.as_secs() + u64::from(delay.subsec_nanos() > 0);
             HeaderValue::from(rounded.max(1))
         }
         Precision::Millis => {
-            let written = format!("{:.3}", left.as_secs_f64());
-            HeaderValue::try_from(written).unwrap_or(HeaderValue::from_static("1"))
+            let text = format!("{:.3}", delay.as_secs_f64());
+            HeaderValue::try_from(text).unwrap_or(HeaderValue::from_static("1"))
         }
     }
 }
--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -1,4 +1,4 @@
-//! Small responses and the reading of small bodies.
+//! Helpers to build small responses and to read small bodies.
 
 use std::io;
 
@@ -11,85 +11,85 @@
 
 use crate::Body;
 
-/// Why a small JSON body was not taken.
+/// Error when reading a small body.
 #[derive(Debug, thiserror::Error)]
 pub enum BadBody {
-    /// It broke off or exceeds the limit.
-    #[error("body broke off or is larger than {most} bytes")]
-    Unread {
-        /// Largest body taken, in bytes.
-        most: usize,
+    /// The body ended early or exceeds the size limit.
+    #[error("body broke off or is larger than {max_bytes} bytes")]
+    Incomplete {
+        /// Maximum size of the body, in bytes.
+        max_bytes: usize,
     },
-    /// It is not the JSON expected.
+    /// The body is not the expected JSON.
     #[error("body is not as expected: {0}")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// A body of these bytes.
+/// Returns a body with the given content.
 #[must_use]
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Body::new(Full::new(bytes.into()).map_err(|never| match never {}))
 }
 
-/// A body of nothing.
+/// Returns an empty body.
 #[must_use]
 pub fn empty() -> Body {
     full(Bytes::new())
 }
 
-/// A plain-text response.
+/// Returns a plain-text response.
 #[must_use]
 pub fn text(status: StatusCode, text: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(full(text));
     *response.status_mut() = status;
-    let plain = HeaderValue::from_static("text/plain; charset=utf-8");
-    response.headers_mut().insert(CONTENT_TYPE, plain);
+    let content_type = HeaderValue::from_static("text/plain; charset=utf-8");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
-/// A JSON response; a value that cannot be written gives status 500.
+/// Returns a JSON response, or status 500 if the value cannot be serialized.
 #[must_use]
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
-    let Ok(written) = serde_json::to_vec(value) else {
+    let Ok(bytes) = serde_json::to_vec(value) else {
         return text(StatusCode::INTERNAL_SERVER_ERROR, "unserializable\n");
     };
-    let mut response = Response::new(full(written));
+    let mut response = Response::new(full(bytes));
     *response.status_mut() = status;
-    let kind = HeaderValue::from_static("application/json");
-    response.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("application/json");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
-/// Reads a body of at most `most` bytes as JSON.
+/// Reads a body of up to `max_bytes` bytes as JSON.
 ///
 /// # Errors
-/// If the body breaks off, is too large, or is not the JSON expected.
-pub async fn read_json<T, B>(body: B, most: usize) -> Result<T, BadBody>
+/// Returns an error if the body ends early, is too large, or is not the expected JSON.
+pub async fn read_json<T, B>(body: B, max_bytes: usize) -> Result<T, BadBody>
 where
     T: DeserializeOwned,
     B: hyper::body::Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    Ok(serde_json::from_slice(&read_all(body, most).await?)?)
+    Ok(serde_json::from_slice(&read_all(body, max_bytes).await?)?)
 }
 
-/// Reads a body of at most `most` bytes.
+/// Reads a body of up to `max_bytes` bytes.
 ///
 /// # Errors
-/// If the body breaks off or is too large.
-pub async fn read_all<B>(body: B, most: usize) -> Result<Bytes, BadBody>
+/// Returns an error if the body ends early or is too large.
+pub async fn read_all<B>(body: B, max_bytes: usize) -> Result<Bytes, BadBody>
 where
     B: hyper::body::Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let collected = Limited::new(body, most)
+    let collected = Limited::new(body, max_bytes)
         .collect()
         .await
-        .map_err(|_| BadBody::Unread { most })?;
+        .map_err(|_| BadBody::Incomplete { max_bytes })?;
     Ok(collected.to_bytes())
 }
 
-/// Turns a body of hyper's client into gotham's.
+/// Converts a hyper body into gotham's type.
 pub fn from_incoming<B>(body: B) -> Body
 where
     B: hyper::body::Body<Data = Bytes> + Send + 'static,
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! Listeners: accept, serve gotham handlers, stop gracefully.
+//! Listeners that accept connections, serve gotham handlers and shut down gracefully.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -27,34 +27,36 @@
 pub enum Protocol {
     /// HTTP/1.1, for upstreams and operators.
     Http1,
-    /// HTTP/1.1 with this many requests of one connection worked on at once, for callers.
+    /// HTTP/1.1 with up to this many pipelined requests of a connection handled concurrently, for
+    /// callers.
     Pipelined(usize),
     /// HTTP/2 with prior knowledge, between nodes.
     Http2,
 }
 
-/// What one listener takes at most.
+/// Limits of a listener.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Connections open at once; further ones are closed at once.
+    /// Maximum number of open connections; further ones are closed immediately.
     pub connections: usize,
-    /// Bytes of a request's header section.
+    /// Maximum size of a request's header section, in bytes.
     pub header_bytes: usize,
-    /// Fields of a request's header section.
+    /// Maximum number of fields in a request's header section.
     pub header_fields: usize,
-    /// Time for a request's header section to arrive.
+    /// Maximum time for a request's header section to arrive.
     pub header_within: Duration,
-    /// Bytes of a request body taken before the handler reads it (HTTP/2 only).
+    /// Maximum bytes of a request body received before the handler reads it (HTTP/2 only).
     pub window: u32,
-    /// Requests open at once on one connection (HTTP/2 only).
+    /// Maximum number of concurrent requests of a connection (HTTP/2 only).
     pub streams: u32,
 }
 
-/// Bytes of a request body that may be on their way before its handler reads it.
+/// Flow-control window of a stream: the bytes of a request body that may be in flight before the
+/// handler reads it.
 ///
-/// A request that is refused before it is handed over has carried this much of its body for
-/// nothing. A larger body takes a round trip for each such part.
-const WINDOW: u32 = 16 * 1024;
+/// A request that is refused before it is handed over has sent up to this much of its body in vain.
+/// A larger body needs one round trip per window.
+const WINDOW_BYTES: u32 = 16 * 1024;
 
 impl Default for Limits {
     fn default() -> Self {
@@ -63,34 +65,36 @@
             header_bytes: 32 * 1024,
             header_fields: 100,
             header_within: Duration::from_secs(5),
-            window: WINDOW,
+            window: WINDOW_BYTES,
             streams: 1024,
         }
     }
 }
 
-/// Phases of a listener's life, set by its owner.
+/// Lifecycle phases of a listener, set by its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Serve.
+    /// Serves requests.
     Open,
-    /// Serve, and let callers know that they should go elsewhere.
+    /// Serves requests, and closes pipelined connections after their last pending response so that
+    /// callers reconnect elsewhere.
     Leaving,
-    /// Take no more connections; finish the requests in progress until `give_up_at`.
+    /// Accepts no more connections; requests in progress may finish until `give_up_at`.
     Closing {
-        /// What is not finished by then is cut.
+        /// When connections with unfinished requests are aborted.
         give_up_at: Instant,
     },
 }
 
-/// How a listener ended.
+/// Result of a listener's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ended {
-    /// Connections with a request in progress that were cut.
+    /// Number of connections with a request in progress that were aborted.
     pub cut: usize,
 }
 
-/// Serves until the phase turns to closing and the requests in progress are finished.
+/// Serves until the phase is [`Phase::Closing`] and the requests in progress have finished or
+/// `give_up_at` has passed.
 pub async fn serve<H>(
     listener: TcpListener,
     handler: H,
@@ -101,42 +105,42 @@
 where
     H: NewHandler + 'static,
 {
-    let (working, mut finished) = mpsc::channel::<Infallible>(1);
-    let accepting = Accepting {
+    let (connection_guard, mut all_ended) = mpsc::channel::<Infallible>(1);
+    let acceptor = Acceptor {
         handler: Arc::new(handler),
         protocol,
         limits,
         phase: phase.clone(),
         graceful: GracefulShutdown::new(),
         open: Arc::default(),
-        working,
+        connection_guard,
     };
     let give_up_at = loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
-                Ok((stream, peer)) => accepting.take(stream, peer),
+                Ok((stream, peer)) => acceptor.accept(stream, peer),
                 Err(error) => {
                     log::warn!(error:% = error; "accept failed");
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             },
-            () = closing(&mut phase) => break closes_at(&phase),
+            () = wait_until_closing(&mut phase) => break closing_deadline(&phase),
         }
     };
-    accepting.take_waiting(listener);
-    let Accepting {
+    acceptor.accept_queued(listener);
+    let Acceptor {
         graceful,
         open,
-        working,
+        connection_guard,
         ..
-    } = accepting;
-    drop(working);
+    } = acceptor;
+    drop(connection_guard);
     let all_finished = async {
         graceful.shutdown().await;
-        finished.recv().await;
+        all_ended.recv().await;
     };
-    let finished = tokio::time::timeout_at(give_up_at.into(), all_finished).await;
-    let cut = if finished.is_ok() {
+    let shutdown = tokio::time::timeout_at(give_up_at.into(), all_finished).await;
+    let cut = if shutdown.is_ok() {
         0
     } else {
         open.load(Ordering::Relaxed)
@@ -144,31 +148,32 @@
     Ended { cut }
 }
 
-/// What becomes of connections that a listener accepts.
-struct Accepting<H> {
+/// Serves the connections that a listener accepts.
+struct Acceptor<H> {
     handler: Arc<H>,
     protocol: Protocol,
     limits: Limits,
     phase: watch::Receiver<Phase>,
     graceful: GracefulShutdown,
     open: Arc<AtomicUsize>,
-    /// Held by each pipelined connection until it has ended.
-    working: mpsc::Sender<Infallible>,
+    /// Cloned by each pipelined connection and dropped when it has ended, so that the receiver
+    /// closes after the last one.
+    connection_guard: mpsc::Sender<Infallible>,
 }
 
-impl<H: NewHandler + 'static> Accepting<H> {
-    fn take(&self, stream: TcpStream, peer: SocketAddr) {
+impl<H: NewHandler + 'static> Acceptor<H> {
+    fn accept(&self, stream: TcpStream, peer: SocketAddr) {
         if self.open.load(Ordering::Relaxed) >= self.limits.connections {
-            log::warn!(peer:% = peer; "connection closed: too many are open");
+            log::warn!(peer:% = peer; "connection rejected: too many open connections");
             return;
         }
         let connection = Connection {
             stream,
             peer,
-            counted: Counted::new(Arc::clone(&self.open)),
+            open_guard: Counted::new(Arc::clone(&self.open)),
         };
         let handler = Arc::clone(&self.handler);
-        let Protocol::Pipelined(most) = self.protocol else {
+        let Protocol::Pipelined(max_in_progress) = self.protocol else {
             spawn(
                 connection,
                 handler,
@@ -178,26 +183,26 @@
             );
             return;
         };
-        let working = self.working.clone();
+        let connection_guard = self.connection_guard.clone();
         let limits = self.limits.clone();
         let phase = self.phase.clone();
         tokio::spawn(async move {
-            pipelined(connection, handler, &limits, most, phase).await;
-            drop(working);
+            serve_pipelined(connection, handler, &limits, max_in_progress, phase).await;
+            drop(connection_guard);
         });
     }
 
-    /// Takes the connections that wait to be accepted, and closes the listener.
+    /// Accepts the connections in the listener's accept queue, and closes the listener.
     ///
     /// Failure: the thread is busy while callers connect, and the listener closes next. Symptom:
-    /// the system resets what waits in the listener's queue, and requests that have arrived there
-    /// end without an answer. The system is asked until its queue is empty, since the runtime may
-    /// not have looked for a while.
-    fn take_waiting(&self, listener: TcpListener) {
+    /// the operating system resets the connections in the accept queue, and requests that have
+    /// arrived on them get no response. The runtime's readiness may be out of date, so this calls
+    /// the operating system directly until the queue is empty.
+    fn accept_queued(&self, listener: TcpListener) {
         let listener = match listener.into_std() {
             Ok(listener) => listener,
             Err(error) => {
-                log::warn!(error:% = error; "connections that waited to be accepted are lost");
+                log::warn!(error:% = error; "connections in the accept queue are lost");
                 return;
             }
         };
@@ -206,22 +211,22 @@
                 .set_nonblocking(true)
                 .and_then(|()| TcpStream::from_std(stream));
             match stream {
-                Ok(stream) => self.take(stream, peer),
+                Ok(stream) => self.accept(stream, peer),
                 Err(error) => log::warn!(peer:% = peer, error:% = error; "accept failed"),
             }
         }
     }
 }
 
-/// Waits until the phase is closing, or its owner is gone.
-async fn closing(phase: &mut watch::Receiver<Phase>) {
-    let turned = phase
+/// Waits until the phase is [`Phase::Closing`] or its sender is dropped.
+async fn wait_until_closing(phase: &mut watch::Receiver<Phase>) {
+    let result = phase
         .wait_for(|phase| matches!(phase, Phase::Closing { .. }))
         .await;
-    drop(turned);
+    drop(result);
 }
 
-fn closes_at(phase: &watch::Receiver<Phase>) -> Instant {
+fn closing_deadline(phase: &watch::Receiver<Phase>) -> Instant {
     match *phase.borrow() {
         Phase::Closing { give_up_at } => give_up_at,
         Phase::Open | Phase::Leaving => Instant::now(),
@@ -232,21 +237,21 @@
 struct Connection {
     stream: TcpStream,
     peer: SocketAddr,
-    counted: Counted,
+    open_guard: Counted,
 }
 
-async fn pipelined<H>(
+async fn serve_pipelined<H>(
     connection: Connection,
     handler: Arc<H>,
     limits: &Limits,
-    most: usize,
+    max_in_progress: usize,
     phase: watch::Receiver<Phase>,
 ) where
     H: NewHandler + 'static,
 {
     let peer = connection.peer;
     if let Err(error) = connection.stream.set_nodelay(true) {
-        log::debug!(error:% = error; "no-delay not set");
+        log::debug!(error:% = error; "failed to set TCP_NODELAY");
     }
     let respond = move |request| handle(Arc::clone(&handler), request, peer);
     let builder = http1(limits);
@@ -254,13 +259,13 @@
     pipeline::serve(
         connection.stream,
         &builder,
-        most,
+        max_in_progress,
         header_within,
         phase,
         respond,
     )
     .await;
-    drop(connection.counted);
+    drop(connection.open_guard);
 }
 
 fn spawn<H>(
@@ -275,31 +280,31 @@
     let Connection {
         stream,
         peer,
-        counted,
+        open_guard,
     } = connection;
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!(error:% = error; "no-delay not set");
+        log::debug!(error:% = error; "failed to set TCP_NODELAY");
     }
     let service = service_fn(move |request: Request<Incoming>| {
-        let answered = handle(Arc::clone(&handler), request, peer);
-        async move { Ok::<_, Infallible>(answered.await) }
+        let response = handle(Arc::clone(&handler), request, peer);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let io = TokioIo::new(stream);
     match protocol {
         Protocol::Http1 | Protocol::Pipelined(_) => {
             let connection = http1(limits).serve_connection(io, service);
-            let watched = graceful.watch(connection);
+            let graceful_connection = graceful.watch(connection);
             tokio::spawn(async move {
-                finish(watched.await, peer);
-                drop(counted);
+                log_failure(graceful_connection.await, peer);
+                drop(open_guard);
             });
         }
         Protocol::Http2 => {
             let connection = http2(limits).serve_connection(io, service);
-            let watched = graceful.watch(connection);
+            let graceful_connection = graceful.watch(connection);
             tokio::spawn(async move {
-                finish(watched.await, peer);
-                drop(counted);
+                log_failure(graceful_connection.await, peer);
+                drop(open_guard);
             });
         }
     }
@@ -315,8 +320,8 @@
     builder
 }
 
-/// The window bounds what arrives of a body before its handler asks for it, and with
-/// it the memory that a waiting request holds.
+/// The window bounds how much of a body arrives before its handler reads it, and thus the memory
+/// used by a queued request.
 fn http2(limits: &Limits) -> hyper::server::conn::http2::Builder<TokioExecutor> {
     let mut builder = hyper::server::conn::http2::Builder::new(TokioExecutor::new());
     let header_bytes = u32::try_from(limits.header_bytes).unwrap_or(u32::MAX);
@@ -338,16 +343,16 @@
     B::Error: std::error::Error + Send + Sync,
 {
     let state = State::from_request(request, peer);
-    let answered = call_handler(handler, AssertUnwindSafe(state)).await;
-    answered.unwrap_or_else(|error| {
-        log::error!(error:% = error; "handler could not be made");
+    let response = call_handler(handler, AssertUnwindSafe(state)).await;
+    response.unwrap_or_else(|error| {
+        log::error!(error:% = error; "failed to create a request handler");
         let status = hyper::StatusCode::INTERNAL_SERVER_ERROR;
         crate::reply::text(status, "handler could not be made\n")
     })
 }
 
-fn finish(ended: Result<(), hyper::Error>, peer: SocketAddr) {
-    if let Err(error) = ended {
-        log::debug!(peer:% = peer, error:% = error; "connection ended");
+fn log_failure(result: Result<(), hyper::Error>, peer: SocketAddr) {
+    if let Err(error) = result {
+        log::debug!(peer:% = peer, error:% = error; "connection failed");
     }
 }
--- a/crates/http/src/socket.rs
+++ b/crates/http/src/socket.rs
@@ -1,4 +1,4 @@
-//! A socket with several owners, read and written without exclusive access.
+//! Reads and writes of a TCP socket through shared references.
 
 use std::io::{self, Read};
 use std::mem::MaybeUninit;
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A handle of a socket that others hold as well; one of them reads and one writes.
+/// Shared handle of a socket; at most one owner may read and one may write.
 #[derive(Clone, Debug)]
 pub struct Shared(pub Arc<TcpStream>);
 
@@ -55,10 +55,10 @@
     }
 }
 
-/// Reads what has arrived.
+/// Reads the bytes that have arrived.
 ///
-/// A read that leaves room in the buffer has emptied the socket: the runtime is told so, which
-/// spares the call that would find nothing.
+/// A read that doesn't fill the buffer has drained the socket. The closure then reports
+/// `WouldBlock` so that the runtime clears its readiness, which saves a read that finds nothing.
 ///
 /// # Errors
 /// If the connection is broken.
@@ -70,18 +70,18 @@
     let socket = socket2::SockRef::from(stream);
     loop {
         ready!(stream.poll_read_ready(cx))?;
-        let mut taken = None;
-        let tried = stream.try_io(Interest::READABLE, || {
+        let mut bytes_read = None;
+        let result = stream.try_io(Interest::READABLE, || {
             let read = (&*socket).read(buffer)?;
-            taken = Some(read);
-            let is_empty = (1..buffer.len()).contains(&read);
-            if is_empty {
+            bytes_read = Some(read);
+            let is_drained = (1..buffer.len()).contains(&read);
+            if is_drained {
                 Err(io::ErrorKind::WouldBlock.into())
             } else {
                 Ok(())
             }
         });
-        match (taken, tried) {
+        match (bytes_read, result) {
             (Some(read), _) => return Poll::Ready(Ok(read)),
             (None, Err(error)) if error.kind() != io::ErrorKind::WouldBlock => {
                 return Poll::Ready(Err(error));
@@ -91,7 +91,7 @@
     }
 }
 
-/// Writes as much as there is room for.
+/// Writes as many bytes as the send buffer accepts.
 ///
 /// # Errors
 /// If the connection is broken.
@@ -103,7 +103,7 @@
     when_ready(|| stream.poll_write_ready(cx), || stream.try_write(bytes))
 }
 
-/// As [`poll_write`], from several buffers.
+/// Writes from several buffers, otherwise like [`poll_write`].
 ///
 /// # Errors
 /// If the connection is broken.
@@ -118,7 +118,7 @@
     )
 }
 
-/// Ends this side of the connection.
+/// Shuts down the sending side of the connection.
 ///
 /// # Errors
 /// If the connection is broken.
@@ -126,8 +126,8 @@
     socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write)
 }
 
-/// Whether anything that has arrived is unread; the system is asked, since the runtime may not
-/// have looked for a while.
+/// Returns whether bytes that have arrived are unread. Asks the operating system, since the
+/// runtime's readiness may be out of date.
 #[must_use]
 pub fn has_unread(stream: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
@@ -135,16 +135,16 @@
     matches!(peeked, Ok(read) if read > 0)
 }
 
-/// Tries as often as the socket says that it is ready; it may turn out not to be.
+/// Repeats `operation` while the socket reports readiness, since that may be a false positive.
 fn when_ready<T>(
     mut poll_ready: impl FnMut() -> Poll<io::Result<()>>,
-    mut act: impl FnMut() -> io::Result<T>,
+    mut operation: impl FnMut() -> io::Result<T>,
 ) -> Poll<io::Result<T>> {
     loop {
         ready!(poll_ready())?;
-        match act() {
+        match operation() {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-            done => return Poll::Ready(done),
+            result => return Poll::Ready(result),
         }
     }
 }
