--- a/crates/http/tests/broken_stream.rs
+++ b/crates/http/tests/broken_stream.rs
@@ -1,4 +1,4 @@
-//! Bodies whose stream is reset before their end.
+//! Request bodies whose stream is reset before they are complete.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,29 +15,29 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-const WAIT_MOST: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Whether a body came to its end, as each request's reader saw it.
-type Ends = mpsc::UnboundedSender<bool>;
+/// Receives for each request whether its body was read completely.
+type Completions = mpsc::UnboundedSender<bool>;
 
-/// Reads the body on a task of its own, like a connection to an upstream, and never answers.
-async fn read_on(ends: Arc<Ends>, request: Request<Body>) -> hyper::Response<Body> {
+/// Reads the body in a separate task, as a connection to an upstream does, and never responds.
+async fn read_body(completions: Arc<Completions>, request: Request<Body>) -> hyper::Response<Body> {
     tokio::spawn(async move {
-        let whole = request.into_body().collect().await.is_ok();
-        ends.send(whole).expect("the test waits");
+        let is_complete = request.into_body().collect().await.is_ok();
+        completions.send(is_complete).expect("the test waits");
     });
     std::future::pending::<()>().await;
     reply::text(StatusCode::OK, "never\n")
 }
 
-/// Guards against an upload that its sender cancels being passed on as a whole one.
+/// Guards against an upload that its sender cancels being forwarded as a complete one.
 #[tokio::test(flavor = "multi_thread")]
-async fn body_of_a_cancelled_stream_does_not_end() {
+async fn body_of_a_cancelled_stream_is_incomplete() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let (ends, mut ended) = mpsc::unbounded_channel();
-    let handler = Function::new(Arc::new(ends), |ends, request| -> Answer {
-        Box::pin(read_on(ends, request))
+    let (completions, mut completed) = mpsc::unbounded_channel();
+    let handler = Function::new(Arc::new(completions), |completions, request| -> Answer {
+        Box::pin(read_body(completions, request))
     });
     let phase = watch::Sender::new(Phase::Open);
     tokio::spawn(serve(
@@ -53,23 +53,23 @@
         .await
         .expect("HTTP/2");
     tokio::spawn(connection);
-    let (parts, part) = mpsc::unbounded_channel::<Bytes>();
-    let frames = futures_util::stream::unfold(part, |mut part| async {
-        let data = part.recv().await?;
-        Some((Ok::<_, std::io::Error>(Frame::data(data)), part))
+    let (chunk_sender, chunks) = mpsc::unbounded_channel::<Bytes>();
+    let body_stream = futures_util::stream::unfold(chunks, |mut chunks| async {
+        let data = chunks.recv().await?;
+        Some((Ok::<_, std::io::Error>(Frame::data(data)), chunks))
     });
     let request = Request::post("http://host/")
-        .body(Body::new(StreamBody::new(frames)))
+        .body(Body::new(StreamBody::new(body_stream)))
         .expect("a request");
-    let mut on_this = sender.clone();
-    let answer = tokio::spawn(async move { on_this.send_request(request).await });
-    parts
+    let mut request_sender = sender.clone();
+    let answer = tokio::spawn(async move { request_sender.send_request(request).await });
+    chunk_sender
         .send(Bytes::from_static(b"the beginning"))
         .expect("sent");
     tokio::time::sleep(Duration::from_millis(100)).await;
     answer.abort();
 
-    let whole = tokio::time::timeout(WAIT_MOST, ended.recv()).await;
+    let is_complete = tokio::time::timeout(WAIT_TIMEOUT, completed.recv()).await;
     drop(sender);
-    assert_eq!(whole.expect("the body ends or breaks"), Some(false));
+    assert_eq!(is_complete.expect("the body ends or fails"), Some(false));
 }
--- a/crates/http/tests/closing.rs
+++ b/crates/http/tests/closing.rs
@@ -1,4 +1,4 @@
-//! Requests that have arrived when a listener closes, and that a busy thread has not read yet.
+//! Requests that have arrived but are still unread by a busy thread when a listener closes.
 
 mod common;
 
@@ -7,63 +7,72 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use common::{BUSY, Server, WAIT_MOST, answers, bodies, connect, get, rest, start, until};
+use common::{
+    BUSY_PREFIX, Server, WAIT_TIMEOUT, bodies, connect, get, read_responses, read_to_close, start,
+    wait_until,
+};
 use mintridge_http::server::Phase;
 use rstest::rstest;
 
-/// Which of two things a woken thread does first is left to chance.
-const PLAYS: usize = 20;
+/// Number of repetitions, since the order in which a woken thread handles two events is random.
+const REPETITIONS: usize = 20;
 
-/// Keeps the server's thread busy, and returns once it is.
-fn keep_busy(server: &Server) -> TcpStream {
+/// Blocks the server's thread for a while; returns once it is blocked.
+fn block_thread(server: &Server) -> TcpStream {
     let mut stream = connect(server);
     stream
-        .write_all(get(&format!("{BUSY}100")).as_bytes())
+        .write_all(get(&format!("{BUSY_PREFIX}100")).as_bytes())
         .expect("sent");
-    until("the thread is busy", || {
-        server.seen.running.load(Ordering::SeqCst) == 1
+    wait_until("the thread is blocked", || {
+        server.counters.running.load(Ordering::SeqCst) == 1
     });
     stream
 }
 
 fn close(server: &Server) {
     server.phase.send_replace(Phase::Closing {
-        give_up_at: Instant::now() + WAIT_MOST,
+        give_up_at: Instant::now() + WAIT_TIMEOUT,
     });
 }
 
-/// A caller sends a request on a connection that is kept open, while the node's thread is busy.
-/// The listener closes before the thread comes to read it. The request is in the node's buffer,
-/// so it is answered and not lost with the connection.
+/// Guards against the loss of a request that is in the receive buffer of an idle connection when
+/// the listener closes. The server's thread is busy, so it hasn't read the request yet.
 #[test]
-fn serve_answers_what_has_arrived_on_an_idle_connection() {
-    for play in 0..PLAYS {
+fn serve_answers_a_request_buffered_on_an_idle_connection() {
+    for repetition in 0..REPETITIONS {
         let server = start();
         let mut idle = connect(&server);
         idle.write_all(get("1").as_bytes()).expect("sent");
-        answers(&mut idle, 1);
-        let _busy = keep_busy(&server);
+        read_responses(&mut idle, 1);
+        let _busy = block_thread(&server);
         idle.write_all(get("2").as_bytes()).expect("sent");
         close(&server);
-        assert_eq!(bodies(&rest(&mut idle)), ["2:"], "play {play}");
+        assert_eq!(
+            bodies(&read_to_close(&mut idle)),
+            ["2:"],
+            "repetition {repetition}"
+        );
     }
 }
 
-/// A caller connects and sends while the thread is busy, and the listener closes before it comes
-/// to accept: the connection waits in the listener's queue, with its request. It is accepted and
-/// answered; closing the listener would reset it.
+/// Guards against the reset of connections in the accept queue when the listener closes. A caller
+/// connects and sends a request while the server's thread is too busy to accept the connection.
 #[rstest]
 #[case::at_once(Duration::ZERO)]
-// The connection was accepted by the system, and its first request is on its way.
+// The operating system has accepted the connection; its first request is still on its way.
 #[case::a_little_later(Duration::from_millis(130))]
-fn serve_answers_who_waits_in_the_queue(#[case] sends_after: Duration) {
-    for play in 0..PLAYS {
+fn serve_answers_connections_in_the_accept_queue(#[case] send_delay: Duration) {
+    for repetition in 0..REPETITIONS {
         let server = start();
-        let _busy = keep_busy(&server);
-        let mut waiting = connect(&server);
+        let _busy = block_thread(&server);
+        let mut queued = connect(&server);
         close(&server);
-        std::thread::sleep(sends_after);
-        waiting.write_all(get("2").as_bytes()).expect("sent");
-        assert_eq!(bodies(&rest(&mut waiting)), ["2:"], "play {play}");
+        std::thread::sleep(send_delay);
+        queued.write_all(get("2").as_bytes()).expect("sent");
+        assert_eq!(
+            bodies(&read_to_close(&mut queued)),
+            ["2:"],
+            "repetition {repetition}"
+        );
     }
 }
--- a/crates/http/tests/common/mod.rs
+++ b/crates/http/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A server of callers on a thread of its own, and a caller that writes bytes by hand.
+//! A pipelined server on a thread of its own, and a caller that writes raw bytes.
 
 #![allow(dead_code)]
 
@@ -16,23 +16,23 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Generous limit on any wait.
-pub const WAIT_MOST: Duration = Duration::from_secs(30);
-/// Path that is refused before any of the body was read.
+/// Generous timeout of every wait.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Path whose requests are refused before any of the body is read.
 pub const REFUSED: &str = "refused";
-/// Begins a path that keeps the server's only thread busy for as many milliseconds as follow.
-pub const BUSY: &str = "busy-";
+/// Path prefix, followed by the number of milliseconds for which to block the server's only thread.
+pub const BUSY_PREFIX: &str = "busy-";
 
 #[derive(Default)]
-pub struct Seen {
+pub struct Counters {
     pub running: AtomicUsize,
-    pub most: AtomicUsize,
+    pub max_running: AtomicUsize,
     pub dropped: AtomicUsize,
 }
 
-struct Running(Arc<Seen>, bool);
+struct RunningGuard(Arc<Counters>, bool);
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.running.fetch_sub(1, Ordering::SeqCst);
         if !self.1 {
@@ -41,31 +41,31 @@
     }
 }
 
-/// Waits as many milliseconds as the path says and answers the path and the body; some paths
-/// are refused, or keep the thread busy.
-async fn answer(seen: Arc<Seen>, request: Request<Body>) -> Response<Body> {
-    let running = seen.running.fetch_add(1, Ordering::SeqCst) + 1;
-    seen.most.fetch_max(running, Ordering::SeqCst);
-    let mut running = Running(seen, false);
+/// Sleeps for the number of milliseconds in the path, then responds with the path and the body.
+/// See [`REFUSED`] and [`BUSY_PREFIX`] for other paths.
+async fn answer(counters: Arc<Counters>, request: Request<Body>) -> Response<Body> {
+    let running = counters.running.fetch_add(1, Ordering::SeqCst) + 1;
+    counters.max_running.fetch_max(running, Ordering::SeqCst);
+    let mut guard = RunningGuard(counters, false);
     let path = request.uri().path().trim_start_matches('/').to_owned();
     if path == REFUSED {
-        running.1 = true;
+        guard.1 = true;
         return reply::text(StatusCode::SERVICE_UNAVAILABLE, "<refused:>");
     }
-    if let Some(millis) = path.strip_prefix(BUSY) {
+    if let Some(millis) = path.strip_prefix(BUSY_PREFIX) {
         std::thread::sleep(Duration::from_millis(millis.parse().unwrap_or(0)));
     }
     let body = request.into_body().collect().await.expect("a whole body");
     let millis = path.parse().unwrap_or(0);
     tokio::time::sleep(Duration::from_millis(millis)).await;
-    running.1 = true;
+    guard.1 = true;
     let body = String::from_utf8_lossy(&body.to_bytes()).into_owned();
     reply::text(StatusCode::OK, format!("<{path}:{body}>"))
 }
 
 pub struct Server {
     pub address: SocketAddr,
-    pub seen: Arc<Seen>,
+    pub counters: Arc<Counters>,
     pub phase: watch::Sender<Phase>,
 }
 
@@ -73,8 +73,8 @@
     start_with(Limits::default())
 }
 
-/// A server that waits so long for a header section.
-pub fn start_waiting(header_within: Duration) -> Server {
+/// Starts a server with this timeout for a header section.
+pub fn start_with_header_timeout(header_within: Duration) -> Server {
     start_with(Limits {
         header_within,
         ..Limits::default()
@@ -82,9 +82,9 @@
 }
 
 pub fn start_with(limits: Limits) -> Server {
-    let seen = Arc::new(Seen::default());
+    let counters = Arc::new(Counters::default());
     let phase = watch::Sender::new(Phase::Open);
-    let (of_server, receiver) = (Arc::clone(&seen), phase.subscribe());
+    let (server_counters, receiver) = (Arc::clone(&counters), phase.subscribe());
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.set_nonblocking(true).expect("set");
     let address = listener.local_addr().expect("an address");
@@ -95,8 +95,8 @@
             .expect("a runtime");
         runtime.block_on(async move {
             let listener = TcpListener::from_std(listener).expect("a listener");
-            let handler = Function::new(of_server, |seen, request| -> Answer {
-                Box::pin(answer(seen, request))
+            let handler = Function::new(server_counters, |counters, request| -> Answer {
+                Box::pin(answer(counters, request))
             });
             let protocol = Protocol::Pipelined(8);
             serve(listener, handler, protocol, limits, receiver).await;
@@ -104,14 +104,14 @@
     });
     Server {
         address,
-        seen,
+        counters,
         phase,
     }
 }
 
 pub fn connect(server: &Server) -> TcpStream {
     let stream = TcpStream::connect(server.address).expect("connected");
-    stream.set_read_timeout(Some(WAIT_MOST)).expect("set");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
     stream
 }
 
@@ -119,8 +119,8 @@
     format!("GET /{path} HTTP/1.1\r\nhost: a\r\n\r\n")
 }
 
-/// Reads until this many answers have come.
-pub fn answers(stream: &mut TcpStream, count: usize) -> String {
+/// Reads until this many responses have arrived.
+pub fn read_responses(stream: &mut TcpStream, count: usize) -> String {
     let mut text = String::new();
     let mut bytes = [0; 1024];
     while text.matches('>').count() < count {
@@ -131,8 +131,8 @@
     text
 }
 
-/// Reads until the server closes the connection, which it must do in order.
-pub fn rest(stream: &mut TcpStream) -> String {
+/// Reads until the server closes the connection, and checks that the connection isn't reset.
+pub fn read_to_close(stream: &mut TcpStream) -> String {
     let mut text = String::new();
     let ended = stream.read_to_string(&mut text);
     assert!(ended.is_ok(), "{ended:?} after {text:?}");
@@ -147,10 +147,13 @@
         .collect()
 }
 
-pub fn until(what: &str, holds: impl Fn() -> bool) {
-    let give_up_at = Instant::now() + WAIT_MOST;
-    while !holds() {
-        assert!(Instant::now() < give_up_at, "never came true: {what}");
+pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(
+            Instant::now() < give_up_at,
+            "not within {WAIT_TIMEOUT:?}: {what}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/http/tests/pipeline.rs
+++ b/crates/http/tests/pipeline.rs
@@ -1,4 +1,4 @@
-//! Requests that follow each other on one connection without waiting for answers.
+//! Pipelined requests: sent on one connection without waiting for responses.
 
 mod common;
 
@@ -6,39 +6,42 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use common::{WAIT_MOST, answers, bodies, connect, get, rest, start, start_waiting, until};
+use common::{
+    WAIT_TIMEOUT, bodies, connect, get, read_responses, read_to_close, start,
+    start_with_header_timeout, wait_until,
+};
 use mintridge_http::server::Phase;
 use rstest::rstest;
 
-/// A request takes longer than a header section may take to arrive, and its caller sends
-/// nothing else meanwhile. The time for the next request runs out; the answer to this one
-/// still comes, and only then does the connection end.
+/// Guards against a dropped response when a request takes longer than the header timeout and its
+/// caller sends nothing else: the timeout of the next request must not end this one.
 #[test]
-fn serve_answers_a_request_longer_than_the_time_for_a_header() {
-    let server = start_waiting(Duration::from_millis(100));
+fn serve_answers_a_request_longer_than_the_header_timeout() {
+    let server = start_with_header_timeout(Duration::from_millis(100));
     let mut stream = connect(&server);
     stream.write_all(get("600").as_bytes()).expect("sent");
-    let text = answers(&mut stream, 1);
+    let text = read_responses(&mut stream, 1);
     assert_eq!(bodies(&text), ["600:"]);
-    assert_eq!(server.seen.dropped.load(Ordering::SeqCst), 0);
+    assert_eq!(server.counters.dropped.load(Ordering::SeqCst), 0);
 }
 
-/// A caller sends a slow request and two quick ones at once. All three are worked on
-/// together, and the answers come in the order of the requests.
+/// A caller sends a slow request and two quick ones at once. All three are handled concurrently,
+/// and the responses are in the order of the requests.
 #[test]
-fn serve_works_on_pipelined_requests_together() {
+fn serve_handles_pipelined_requests_concurrently() {
     let server = start();
     let mut stream = connect(&server);
     let requests = [get("150"), get("1"), get("2")].concat();
     stream.write_all(requests.as_bytes()).expect("sent");
-    let text = answers(&mut stream, 3);
+    let text = read_responses(&mut stream, 3);
     assert_eq!(bodies(&text), ["150:", "1:", "2:"]);
-    assert_eq!(server.seen.most.load(Ordering::SeqCst), 3);
+    assert_eq!(server.counters.max_running.load(Ordering::SeqCst), 3);
 }
 
-/// Bodies stay with their requests, with a length or in chunks, also with requests behind.
+/// Each request gets its own body, whether it has a content length or is chunked, even if further
+/// requests follow.
 #[test]
-fn serve_keeps_bodies_apart() {
+fn serve_gives_each_request_its_own_body() {
     let server = start();
     let mut stream = connect(&server);
     let requests = [
@@ -50,65 +53,67 @@
     stream
         .write_all(requests.concat().as_bytes())
         .expect("sent");
-    let text = answers(&mut stream, 3);
+    let text = read_responses(&mut stream, 3);
     assert_eq!(bodies(&text), ["20:first", "1:second", "2:"]);
 }
 
-/// A caller that waits to be told to send its body is told.
+/// A caller that expects `100 Continue` before it sends its body receives it.
 #[test]
-fn serve_tells_a_caller_to_go_on() {
+fn serve_sends_100_continue() {
     let server = start();
     let mut stream = connect(&server);
     let head = "POST /1 HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\nexpect: 100-continue\r\n\r\n";
     stream.write_all(head.as_bytes()).expect("sent");
-    let mut told = [0; 21];
-    stream.read_exact(&mut told).expect("told");
-    assert!(told.starts_with(b"HTTP/1.1 100"));
+    let mut interim = [0; 21];
+    stream
+        .read_exact(&mut interim)
+        .expect("an interim response");
+    assert!(interim.starts_with(b"HTTP/1.1 100"));
     stream.write_all(b"body").expect("sent");
-    assert_eq!(bodies(&answers(&mut stream, 1)), ["1:body"]);
+    assert_eq!(bodies(&read_responses(&mut stream, 1)), ["1:body"]);
 }
 
-/// The caller closes its connection while three of its requests run: all are dropped, so
-/// that nothing works on for nobody.
+/// Guards against work for a caller that has disconnected: it closes the connection while three of
+/// its requests are in progress, and all of them are dropped.
 #[test]
-fn serve_drops_all_requests_of_a_caller_that_left() {
+fn serve_drops_all_requests_of_a_disconnected_caller() {
     let server = start();
     let mut stream = connect(&server);
     let requests = [get("60000"), get("60001"), get("60002")].concat();
     stream.write_all(requests.as_bytes()).expect("sent");
-    until("all run", || {
-        server.seen.running.load(Ordering::SeqCst) == 3
+    wait_until("all run", || {
+        server.counters.running.load(Ordering::SeqCst) == 3
     });
     drop(stream);
-    until("all are dropped", || {
-        server.seen.dropped.load(Ordering::SeqCst) == 3
+    wait_until("all are dropped", || {
+        server.counters.dropped.load(Ordering::SeqCst) == 3
     });
 }
 
-/// A planned stop: every request that was read is answered, the last answer says that the
-/// connection closes, and then it does.
+/// In a planned stop, every request that was read is answered, and only the last response carries
+/// `connection: close`.
 #[rstest]
 #[case::leaving(Phase::Leaving)]
-#[case::closing(Phase::Closing { give_up_at: Instant::now() + WAIT_MOST })]
-fn serve_answers_what_was_read_before_it_closes(#[case] phase: Phase) {
+#[case::closing(Phase::Closing { give_up_at: Instant::now() + WAIT_TIMEOUT })]
+fn serve_answers_received_requests_before_it_closes(#[case] phase: Phase) {
     let server = start();
     let mut stream = connect(&server);
     let requests = [get("100"), get("120")].concat();
     stream.write_all(requests.as_bytes()).expect("sent");
-    until("both run", || {
-        server.seen.running.load(Ordering::SeqCst) == 2
+    wait_until("both run", || {
+        server.counters.running.load(Ordering::SeqCst) == 2
     });
     server.phase.send_replace(phase);
-    let text = rest(&mut stream);
+    let text = read_to_close(&mut stream);
     assert_eq!(bodies(&text), ["100:", "120:"]);
     assert_eq!(text.matches("connection: close").count(), 1);
-    let last = text.find("connection: close").expect("said");
+    let last = text.find("connection: close").expect("a close header");
     assert!(last > text.find("<100:>").expect("answered"));
 }
 
-/// What cannot be read as a request is refused, not left without an answer.
+/// Bytes that can't be parsed as a request get an error response.
 #[test]
-fn serve_refuses_garbage() {
+fn serve_rejects_garbage() {
     let server = start();
     let mut stream = connect(&server);
     stream
--- a/crates/http/tests/window.rs
+++ b/crates/http/tests/window.rs
@@ -1,4 +1,4 @@
-//! How much of a body is carried to a host that may refuse its request.
+//! How much of a body is sent to a host before it refuses the request.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -18,21 +18,21 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, watch};
 
-const WAIT_MOST: Duration = Duration::from_secs(30);
-const CHUNK: usize = 4 * 1024;
-/// An upload of ordinary size.
-const LENGTH: usize = 60 * 1024;
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+const CHUNK_BYTES: usize = 4 * 1024;
+/// Size of a typical upload.
+const UPLOAD_BYTES: usize = 60 * 1024;
 
-/// A body that counts what was taken of it.
+/// A body that counts the bytes sent of it.
 struct Upload {
-    taken: Arc<AtomicUsize>,
+    sent_bytes: Arc<AtomicUsize>,
 }
 
 impl Upload {
-    /// A body of which nothing is left.
-    fn finished() -> Self {
+    /// Returns a body with no bytes left to send.
+    fn empty() -> Self {
         Self {
-            taken: Arc::new(AtomicUsize::new(LENGTH)),
+            sent_bytes: Arc::new(AtomicUsize::new(UPLOAD_BYTES)),
         }
     }
 }
@@ -45,39 +45,38 @@
         self: Pin<&mut Self>,
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        if self.taken.load(Ordering::SeqCst) >= LENGTH {
+        if self.sent_bytes.load(Ordering::SeqCst) >= UPLOAD_BYTES {
             return Poll::Ready(None);
         }
-        self.taken.fetch_add(CHUNK, Ordering::SeqCst);
-        Poll::Ready(Some(Ok(Frame::data(Bytes::from(vec![0; CHUNK])))))
+        self.sent_bytes.fetch_add(CHUNK_BYTES, Ordering::SeqCst);
+        Poll::Ready(Some(Ok(Frame::data(Bytes::from(vec![0; CHUNK_BYTES])))))
     }
 }
 
-/// Answers a check of the link at once, and refuses anything else when told to, without a look
-/// at the body.
-async fn refuse(refused: Arc<Notify>, request: Request<Body>) -> Response<Body> {
+/// Answers a link check at once, and refuses any other request once notified, without reading the
+/// body.
+async fn refuse(refuse_signal: Arc<Notify>, request: Request<Body>) -> Response<Body> {
     if request.method() == Method::GET {
         return reply::text(StatusCode::OK, "here\n");
     }
-    refused.notified().await;
+    refuse_signal.notified().await;
     reply::text(StatusCode::SERVICE_UNAVAILABLE, "not here\n")
 }
 
-/// A request with an upload comes to a host that looks at its header section alone and refuses
-/// it a little later. Its caller sees a refusal; between the two a small part of the body has
-/// travelled, and the rest is still there for the next host.
+/// Guards against sending a large part of an upload to a host that refuses the request by its
+/// header section alone: the bytes sent are no longer available for the next host.
 ///
-/// How much may travel is told by the other side in its first words. A link is checked by a cheap
-/// request before it is used, so they have come; without one, on a busy machine, the whole body
-/// is sent before them.
+/// The server's SETTINGS frame sets the window. A link is checked with a cheap request before it is
+/// used, so that the frame has arrived; otherwise, on a busy machine, the whole body is sent first.
 #[tokio::test(flavor = "multi_thread")]
-async fn serve_takes_little_of_a_body_that_nobody_reads() {
+async fn serve_limits_the_bytes_sent_of_an_unread_body() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let refused = Arc::new(Notify::new());
-    let handler = Function::new(Arc::clone(&refused), |refused, request| -> Answer {
-        Box::pin(refuse(refused, request))
-    });
+    let refuse_signal = Arc::new(Notify::new());
+    let handler = Function::new(
+        Arc::clone(&refuse_signal),
+        |refuse_signal, request| -> Answer { Box::pin(refuse(refuse_signal, request)) },
+    );
     let phase = watch::Sender::new(Phase::Open);
     let limits = Limits::default();
     tokio::spawn(serve(
@@ -94,28 +93,31 @@
         .await
         .expect("HTTP/2");
     tokio::spawn(connection);
-    let check = Request::get("http://host/").body(Upload::finished());
+    let check = Request::get("http://host/").body(Upload::empty());
     let checked = sender.send_request(check.expect("a request")).await;
     assert_eq!(checked.expect("an answer").status(), StatusCode::OK);
-    let taken = Arc::new(AtomicUsize::new(0));
+    let sent_bytes = Arc::new(AtomicUsize::new(0));
     let upload = Upload {
-        taken: Arc::clone(&taken),
+        sent_bytes: Arc::clone(&sent_bytes),
     };
     let request = Request::post("http://host/")
         .body(upload)
         .expect("a request");
     let answer = tokio::spawn(async move { sender.send_request(request).await });
 
-    let give_up_at = Instant::now() + WAIT_MOST;
-    while taken.load(Ordering::SeqCst) < 2 * CHUNK {
-        assert!(Instant::now() < give_up_at, "the body never began");
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
+    while sent_bytes.load(Ordering::SeqCst) < 2 * CHUNK_BYTES {
+        assert!(Instant::now() < give_up_at, "no body was sent in time");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    // Whatever may come comes within this: a sender on the same host needs no round trips.
+    // Long enough for everything that may be sent to arrive, since the sender is on the same host.
     tokio::time::sleep(Duration::from_millis(200)).await;
-    refused.notify_one();
+    refuse_signal.notify_one();
     let answer = answer.await.expect("the call ends").expect("an answer");
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
-    let taken = taken.load(Ordering::SeqCst);
-    assert!(taken <= LENGTH / 2, "{taken} bytes of the body were taken");
+    let sent_bytes = sent_bytes.load(Ordering::SeqCst);
+    assert!(
+        sent_bytes <= UPLOAD_BYTES / 2,
+        "{sent_bytes} bytes of the body were sent"
+    );
 }
