--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands, one module for each group.
+//! Subcommands of `mintridge`, one module per group.
 
 pub mod explain;
 pub mod node;
@@ -11,36 +11,39 @@
 use crate::error::Error;
 use crate::flags::{Mintridge, MintridgeCmd};
 
-/// Port of the etcd client API.
-const STORE_PORT: u16 = 2379;
-const TIMEOUT: Duration = Duration::from_secs(1);
+/// Default port of the store, that of the etcd client API.
+const DEFAULT_STORE_PORT: u16 = 2379;
+/// Default timeout of one call.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What every command is given.
+/// Options common to all commands.
 #[derive(Clone, Debug)]
 pub struct Context {
     /// Address of the store.
     pub store: SocketAddr,
-    /// Operators' addresses of nodes.
+    /// Addresses of the nodes' operator endpoints.
     pub nodes: Vec<SocketAddr>,
-    /// Time for one call.
+    /// Timeout of one call.
     pub timeout: Duration,
     /// Name shown to other operators.
     pub by: String,
-    /// Print JSON.
+    /// Whether to print JSON.
     pub json: bool,
 }
 
-/// Runs the command that the arguments name.
+/// Runs the command given by the arguments.
 ///
 /// # Errors
 /// If it fails; see [`Error::exit_code`].
 pub async fn run(arguments: Mintridge) -> Result<(), Error> {
-    let store = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), STORE_PORT);
+    let default_store = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), DEFAULT_STORE_PORT);
     let user = || std::env::var("USER").unwrap_or_else(|_| String::from("unnamed"));
     let context = Context {
-        store: arguments.store.unwrap_or(store),
+        store: arguments.store.unwrap_or(default_store),
         nodes: arguments.node,
-        timeout: arguments.timeout_ms.map_or(TIMEOUT, Duration::from_millis),
+        timeout: arguments
+            .timeout_ms
+            .map_or(DEFAULT_TIMEOUT, Duration::from_millis),
         by: arguments.by.unwrap_or_else(user),
         json: arguments.json,
     };
--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! The story of one request, from the logs of several nodes.
+//! `mintridge explain`: the history of one request, from the logs of several nodes.
 
 use std::fmt::Write as _;
 use std::fs::File;
@@ -14,7 +14,7 @@
 use crate::error::Error;
 use crate::output;
 
-/// A line of a node's log.
+/// One line of a node's log.
 #[derive(Clone, Debug, Deserialize)]
 struct Line {
     timestamp: String,
@@ -25,73 +25,74 @@
     diags: Map<String, Value>,
 }
 
-/// One thing that happened to the request.
+/// One logged event of the request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Event {
-    /// When, by the clock of the node that tells it.
+    /// Time by the clock of the node that logged the event.
     pub timestamp: String,
-    /// The node's host.
+    /// Host of the node.
     pub host: String,
-    /// What happened.
+    /// Log message.
     pub message: String,
-    /// The inputs and the outcome.
+    /// Other fields of the log line, as `key=value`.
     pub details: String,
 }
 
-/// Everything that the logs tell of a request.
+/// History of a request, from all logs.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Story {
-    /// In order of time.
+    /// Events in the order of their timestamps.
     pub events: Vec<Event>,
-    /// What the last word of its entry node means.
+    /// Explanation of the outcome that the entry node logged.
     pub cause: String,
-    /// Lines that are no log lines of a node.
+    /// Number of lines that are not log lines of a node.
     pub unread_lines: u64,
 }
 
-/// Reads the logs and prints the story.
+/// Reads the logs and prints the history of the request.
 ///
 /// # Errors
-/// If a file cannot be read, or no line tells of the request.
+/// If a file cannot be read, or no line mentions the request.
 pub fn run(context: &Context, request: &str, files: &[PathBuf]) -> Result<(), Error> {
     output::print(context.json, &read(request, files)?, text)
 }
 
-/// Reads the story of a request from the logs.
+/// Reads the history of a request from the logs.
 ///
 /// # Errors
-/// If a file cannot be read, or no line tells of the request.
+/// If a file cannot be read, or no line mentions the request.
 pub fn read(request: &str, files: &[PathBuf]) -> Result<Story, Error> {
-    let mut story = Story::default();
+    let mut history = Story::default();
     for file in files {
         for line in BufReader::new(File::open(file)?).split(b'\n') {
-            take(&mut story, request, &String::from_utf8_lossy(&line?));
+            record_line(&mut history, request, &String::from_utf8_lossy(&line?));
         }
     }
-    if story.events.is_empty() {
+    if history.events.is_empty() {
         return Err(Error::NoSuchRequest(request.to_owned()));
     }
-    story.events.sort();
-    Ok(story)
+    history.events.sort();
+    Ok(history)
 }
 
-/// Collectors put their own words before a line; it begins with its first brace.
-fn take(story: &mut Story, request: &str, line: &str) {
+/// Adds a log line to the history if it belongs to the request. Log collectors may prefix lines
+/// with text of their own, so parsing starts at the first brace.
+fn record_line(history: &mut Story, request: &str, line: &str) {
     if line.trim().is_empty() {
         return;
     }
     let json = line.find('{').map_or("", |start| &line[start..]);
     let Ok(line) = serde_json::from_str::<Line>(json) else {
-        story.unread_lines += 1;
+        history.unread_lines += 1;
         return;
     };
     if line.kvs.get("request").and_then(Value::as_str) != Some(request) {
         return;
     }
     if line.message == "request" {
-        story.cause = cause(&line);
+        history.cause = cause(&line);
     }
-    story.events.push(event(&line));
+    history.events.push(event(&line));
 }
 
 fn event(line: &Line) -> Event {
@@ -99,75 +100,92 @@
         .kvs
         .iter()
         .filter(|(key, _)| *key != "request")
-        .map(|(key, value)| format!("{key}={}", plain(value)))
+        .map(|(key, value)| format!("{key}={}", format_value(value)))
         .collect();
     Event {
         timestamp: line.timestamp.clone(),
-        host: line.diags.get("host").map_or_else(String::new, plain),
+        host: line
+            .diags
+            .get("host")
+            .map_or_else(String::new, format_value),
         message: line.message.clone(),
         details: details.join(" "),
     }
 }
 
-fn plain(value: &Value) -> String {
+fn format_value(value: &Value) -> String {
     value
         .as_str()
         .map_or_else(|| value.to_string(), ToOwned::to_owned)
 }
 
-/// What the last word of the entry node means to an operator.
+/// Explains the outcome that the entry node logged.
 fn cause(line: &Line) -> String {
-    let outcome = line.kvs.get("outcome").map_or_else(String::new, plain);
-    let status = line.kvs.get("status").map_or_else(String::new, plain);
+    let outcome = line
+        .kvs
+        .get("outcome")
+        .map_or_else(String::new, format_value);
+    let status = line
+        .kvs
+        .get("status")
+        .map_or_else(String::new, format_value);
     let meaning = match outcome.as_str() {
-        "answered" => "an upstream answered; a status of 500 and above is its own".to_owned(),
-        "caller-left" => "the caller closed its connection before the answer".to_owned(),
-        reason => refused(reason, &status),
+        "answered" => {
+            "an upstream answered; a status of 500 or above is the upstream's own".to_owned()
+        }
+        "caller-left" => "the caller closed its connection before the response".to_owned(),
+        reason => explain_refusal(reason, &status),
     };
     format!("{outcome} ({status}): {meaning}")
 }
 
-/// Why a request was refused, and by the status whether it may have run.
-fn refused(reason: &str, status: &str) -> String {
+/// Explains the reason of a refusal, and by the status whether the request may have run.
+fn explain_refusal(reason: &str, status: &str) -> String {
     let Some(reason) = Reason::parse(reason) else {
-        return "the reason is not known here".to_owned();
+        return "unknown reason".to_owned();
     };
-    let unknown = Refusal::unknown(reason, Instant::now()).status();
-    let ran = if status == unknown.to_string() {
+    let status_if_unknown = Refusal::unknown(reason, Instant::now()).status();
+    let effect = if status == status_if_unknown.to_string() {
         "it may have run"
     } else {
-        "nothing ran"
+        "it did not run"
     };
-    format!("{}; {ran}", meaning(reason))
+    format!("{}; {effect}", meaning(reason))
 }
 
 const fn meaning(reason: Reason) -> &'static str {
     match reason {
-        Reason::Busy => "all slots were taken and the queue was full",
-        Reason::Deadline => "the time allowed would have passed, or passed, before the answer",
-        Reason::Late => "no host could answer in time",
-        Reason::Leaving => "the hosts asked were leaving",
-        Reason::Evacuated => "the hosts asked stood in an evacuated zone",
-        Reason::Doubtful => "the upstreams kept failing and were being checked",
-        Reason::Unannounced => "the upstream had not announced itself lately",
-        Reason::Stale => "the node had been paused and had heard nobody since",
-        Reason::NoUpstream => "the node knew of no host with the service",
+        Reason::Busy => "all slots were in use and the queue was full",
+        Reason::Deadline => "the deadline passed, or could not have been met",
+        Reason::Late => "no host could have met the target latency",
+        Reason::Leaving => "the hosts asked were draining",
+        Reason::Evacuated => "the hosts asked were in an evacuated availability zone",
+        Reason::Doubtful => "the upstreams had failed repeatedly and were being probed",
+        Reason::Unannounced => {
+            "the upstream had not announced itself, or its announcement had expired"
+        }
+        Reason::Stale => {
+            "the node had been suspended and had not exchanged state with other nodes since"
+        }
+        Reason::NoUpstream => "the node knew of no host that offers the service",
         Reason::StoreUnavailable => "the store did not confirm the idempotency key",
         Reason::Duplicate => "the idempotency key was used before",
         Reason::LinkLost => "a connection broke after the request was sent",
         Reason::Unreachable => "no connection could be opened",
-        Reason::BadRequest => "the request was malformed or missed a header",
-        Reason::Shed => "the upstreams themselves refused it",
-        Reason::Misdirected => "another instance stood at the address",
-        Reason::ForeignAnswer => "what came back was not its answer",
-        Reason::Unconfigured => "the node did not know the routing table yet",
+        Reason::BadRequest => "the request was malformed or lacked a required header",
+        Reason::Shed => "the upstreams reported that they did not run it",
+        Reason::Misdirected => "another instance of the upstream was listening at the address",
+        Reason::ForeignAnswer => "the response received belonged to another request",
+        Reason::Unconfigured => "the node had no routing table yet",
         Reason::NoRoute => "the routing table in force had no route for it",
-        Reason::Quarantined => "upstreams ended under the same request before",
+        Reason::Quarantined => {
+            "the request was quarantined: upstreams had crashed while they ran it"
+        }
     }
 }
 
-fn text(story: &Story) -> String {
-    let rows: Vec<Vec<String>> = story
+fn text(history: &Story) -> String {
+    let rows: Vec<Vec<String>> = history
         .events
         .iter()
         .map(|event| {
@@ -180,11 +198,11 @@
         })
         .collect();
     let mut text = output::table(&["when", "host", "what", "details"], &rows);
-    if !story.cause.is_empty() {
-        let _ = writeln!(text, "\ncause: {}", story.cause);
+    if !history.cause.is_empty() {
+        let _ = writeln!(text, "\ncause: {}", history.cause);
     }
-    if story.unread_lines > 0 {
-        let _ = writeln!(text, "{} lines could not be read", story.unread_lines);
+    if history.unread_lines > 0 {
+        let _ = writeln!(text, "{} lines could not be read", history.unread_lines);
     }
     text
 }
--- a/crates/ctl/src/commands/node.rs
+++ b/crates/ctl/src/commands/node.rs
@@ -1,4 +1,4 @@
-//! `mintridge node`: what nodes say.
+//! `mintridge node`: the state of nodes.
 
 use std::fmt::Write as _;
 
@@ -9,25 +9,25 @@
 use crate::error::Error;
 use crate::{nodes, output};
 
-/// Answers of all nodes asked.
+/// States of the nodes that responded, and addresses of those that did not.
 #[derive(Debug, Serialize)]
 struct Answers {
     nodes: Vec<Status>,
     silent: Vec<std::net::SocketAddr>,
 }
 
-/// Shows the state of every node found through the named ones.
+/// Shows the state of every node found through the nodes given.
 ///
 /// # Errors
-/// If none is named or none answers.
+/// If none is given or none of them responds.
 pub async fn status(context: &Context) -> Result<(), Error> {
-    let asked = nodes::all(&context.nodes, context.timeout).await?;
+    let results = nodes::statuses(&context.nodes, context.timeout).await?;
     let mut answers = Answers {
         nodes: Vec::new(),
         silent: Vec::new(),
     };
-    for answer in asked {
-        match answer {
+    for result in results {
+        match result {
             Ok(status) => answers.nodes.push(status),
             Err(address) => answers.silent.push(address),
         }
@@ -37,13 +37,13 @@
 }
 
 fn text(answers: &Answers) -> String {
-    let head = [
+    let headings = [
         "SERVER", "ZONE", "SERVICE", "REVISION", "PRESET", "MEMBERS", "LOAD", "QUEUED", "STATE",
     ];
     let rows: Vec<Vec<String>> = answers.nodes.iter().map(row).collect();
-    let mut text = output::table(&head, &rows);
+    let mut text = output::table(&headings, &rows);
     for address in &answers.silent {
-        let _ = writeln!(text, "{address} does not answer");
+        let _ = writeln!(text, "{address} does not respond");
     }
     text
 }
--- a/crates/ctl/src/commands/preset.rs
+++ b/crates/ctl/src/commands/preset.rs
@@ -1,4 +1,4 @@
-//! `mintridge preset`: edit presets and choose the one in force.
+//! `mintridge preset`: edits presets and selects the one in force.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -16,18 +16,18 @@
 use crate::flags::{self, PresetCmd};
 use crate::{nodes, output};
 
-/// Pause between two looks at the nodes.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Interval between two polls of the nodes.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Runs a command of this group.
 ///
 /// # Errors
-/// If a file is not taken, the store refuses, or nodes do not follow in time.
+/// If a file is invalid, the store rejects the change, or nodes do not apply it in time.
 pub async fn run(context: &Context, preset: flags::Preset) -> Result<(), Error> {
     let store = Client::new(context.store, context.timeout);
     match preset.subcommand {
         PresetCmd::Validate(validate) => {
-            read(&validate.file)?;
+            read_preset(&validate.file)?;
             println!("{}: good", validate.file.display());
             Ok(())
         }
@@ -35,7 +35,7 @@
         PresetCmd::List(_) => list(context, &store).await,
         PresetCmd::Show(show) => {
             let stored = presets::get(&store, &show.name).await?;
-            output::print(context.json, &Shown::from(&stored), Shown::text)
+            output::print(context.json, &Details::from(&stored), Details::text)
         }
         PresetCmd::Diff(diff) => {
             let from = presets::get(&store, &diff.from).await?;
@@ -50,21 +50,21 @@
             Ok(())
         }
         PresetCmd::InForce(_) => {
-            let standing = presets::in_force(&store).await?;
-            output::print(context.json, &standing.in_force, in_force_text)
+            let current = presets::in_force(&store).await?;
+            output::print(context.json, &current.in_force, in_force_text)
         }
     }
 }
 
-fn read(file: &Path) -> Result<Preset, Error> {
+fn read_preset(file: &Path) -> Result<Preset, Error> {
     let preset: Preset = settings::read(file).map_err(super::settings::file_error)?;
     preset.check()?;
     Ok(preset)
 }
 
 async fn put(context: &Context, store: &Client, put: flags::Put) -> Result<(), Error> {
-    let preset = read(&put.file)?;
-    warn_of_unknown(context, &preset).await;
+    let preset = read_preset(&put.file)?;
+    warn_about_unknown_hosts(context, &preset).await;
     let author = author(context);
     let changed = presets::put(store, &put.name, preset, put.expect, &author).await?;
     match changed {
@@ -77,30 +77,31 @@
     Ok(())
 }
 
-/// A preset may name a host that is not there yet; the operator is told.
-async fn warn_of_unknown(context: &Context, preset: &Preset) {
-    let Ok(answers) = nodes::all(&context.nodes, context.timeout).await else {
+/// Warns about hosts in `leaving` that no node knows. This is not an error, because a preset may
+/// name a host that does not exist yet.
+async fn warn_about_unknown_hosts(context: &Context, preset: &Preset) {
+    let Ok(answers) = nodes::statuses(&context.nodes, context.timeout).await else {
         return;
     };
     let hosts: Vec<Arc<str>> = answers.into_iter().flatten().map(|s| s.host).collect();
     for host in preset.leaving.iter().filter(|name| !hosts.contains(name)) {
-        eprintln!("warning: leaving names {host}, which no node knows now");
+        eprintln!("warning: leaving contains {host}, which no node knows");
     }
 }
 
 async fn list(context: &Context, store: &Client) -> Result<(), Error> {
     let stored = presets::list(store).await?;
-    let standing = presets::in_force(store).await?;
-    let rows: Vec<Listed> = stored
+    let current = presets::in_force(store).await?;
+    let rows: Vec<Row> = stored
         .iter()
-        .map(|stored| Listed {
+        .map(|stored| Row {
             name: Arc::clone(&stored.name),
             store_revision: stored.mod_revision,
-            in_force: stored.name == standing.in_force.name,
+            in_force: stored.name == current.in_force.name,
         })
         .collect();
     output::print(context.json, &rows, |rows| {
-        let rows: Vec<Vec<String>> = rows.iter().map(Listed::row).collect();
+        let rows: Vec<Vec<String>> = rows.iter().map(Row::cells).collect();
         output::table(&["PRESET", "STORE REVISION", "IN FORCE"], &rows)
     })
 }
@@ -111,36 +112,40 @@
     let Some(seconds) = activate.wait else {
         return Ok(());
     };
-    let give_up_at = Instant::now() + Duration::from_secs_f64(seconds.clamp(0.0, 3600.0));
-    wait(context, in_force.revision, give_up_at).await
+    let deadline = Instant::now() + Duration::from_secs_f64(seconds.clamp(0.0, 3600.0));
+    wait_until_in_force(context, in_force.revision, deadline).await
 }
 
-/// Waits until every node shows the revision, or a later one.
-async fn wait(context: &Context, revision: Revision, give_up_at: Instant) -> Result<(), Error> {
+/// Waits until this revision or a later one is in force on every node.
+async fn wait_until_in_force(
+    context: &Context,
+    revision: Revision,
+    deadline: Instant,
+) -> Result<(), Error> {
     loop {
-        let answers = nodes::all(&context.nodes, context.timeout).await?;
-        let asked = answers.len();
-        let seen = answers
+        let answers = nodes::statuses(&context.nodes, context.timeout).await?;
+        let total = answers.len();
+        let confirmed = answers
             .into_iter()
             .flatten()
             .filter(|status| status.view.in_force.revision >= revision)
             .count();
-        if seen == asked {
-            eprintln!("in force on {asked} of {asked} nodes");
+        if confirmed == total {
+            eprintln!("in force on {total} of {total} nodes");
             return Ok(());
         }
-        if Instant::now() >= give_up_at {
-            return Err(Error::NotSeen { seen, asked });
+        if Instant::now() >= deadline {
+            return Err(Error::Unconfirmed { confirmed, total });
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 fn author(context: &Context) -> Author {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     Author {
         name: Arc::from(context.by.as_str()),
-        at: since.map_or(0, |since| since.as_secs()),
+        at: since_epoch.map_or(0, |since_epoch| since_epoch.as_secs()),
         mark: Arc::from(format!("{:032x}", rand::random::<u128>())),
     }
 }
@@ -148,20 +153,20 @@
 fn in_force_text(in_force: &InForce) -> String {
     let contents = serde_json::to_string_pretty(&in_force.preset).unwrap_or_default();
     format!(
-        "{} is in force as revision {}, by {} at {} s since 1970\n{contents}",
+        "{} is in force as revision {}, by {} at Unix time {}\n{contents}",
         in_force.name, in_force.revision.0, in_force.changed_by, in_force.changed_at
     )
 }
 
 #[derive(Debug, Serialize)]
-struct Listed {
+struct Row {
     name: Arc<str>,
     store_revision: i64,
     in_force: bool,
 }
 
-impl Listed {
-    fn row(&self) -> Vec<String> {
+impl Row {
+    fn cells(&self) -> Vec<String> {
         let in_force = if self.in_force { "yes" } else { "" };
         vec![
             self.name.to_string(),
@@ -172,13 +177,13 @@
 }
 
 #[derive(Debug, Serialize)]
-struct Shown {
+struct Details {
     name: Arc<str>,
     store_revision: i64,
     preset: Preset,
 }
 
-impl Shown {
+impl Details {
     fn from(stored: &Stored) -> Self {
         Self {
             name: Arc::clone(&stored.name),
@@ -193,7 +198,7 @@
     }
 }
 
-/// One value that differs.
+/// One key whose value differs between two presets.
 #[derive(Debug, Serialize)]
 struct Difference {
     key: String,
@@ -202,17 +207,17 @@
 }
 
 fn differences(from: &Preset, to: &Preset) -> Result<Vec<Difference>, Error> {
-    let mut found = Vec::new();
-    collect(
+    let mut differences = Vec::new();
+    collect_differences(
         "",
         &serde_json::to_value(from)?,
         &serde_json::to_value(to)?,
-        &mut found,
+        &mut differences,
     );
-    Ok(found)
+    Ok(differences)
 }
 
-fn collect(path: &str, from: &Value, to: &Value, found: &mut Vec<Difference>) {
+fn collect_differences(path: &str, from: &Value, to: &Value, differences: &mut Vec<Difference>) {
     if from == to {
         return;
     }
@@ -227,11 +232,11 @@
             let absent = Value::Null;
             let from = from.get(key).unwrap_or(&absent);
             let to = to.get(key).unwrap_or(&absent);
-            collect(&inner, from, to, found);
+            collect_differences(&inner, from, to, differences);
         }
         return;
     }
-    found.push(Difference {
+    differences.push(Difference {
         key: path.to_owned(),
         from: from.clone(),
         to: to.clone(),
--- a/crates/ctl/src/commands/settings.rs
+++ b/crates/ctl/src/commands/settings.rs
@@ -1,4 +1,4 @@
-//! `mintridge settings`: check a file, print the defaults.
+//! `mintridge settings`: checks a settings file or prints the defaults.
 
 use error_stack::Report;
 use mintridge_node::settings::{self, Settings, load};
@@ -10,7 +10,7 @@
 /// Runs a command of this group.
 ///
 /// # Errors
-/// If a file is not taken.
+/// If the file cannot be read or is invalid.
 pub fn run(_: &Context, settings: flags::Settings) -> Result<(), Error> {
     match settings.subcommand {
         SettingsCmd::Check(check) => {
@@ -24,7 +24,7 @@
     Ok(())
 }
 
-/// The failure of a file as this command reports it.
+/// Converts the error of a settings or preset file to that of this command.
 #[must_use]
 pub const fn file_error(report: Report<settings::Error>) -> Error {
     Error::File(report)
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! Failures of the command, each with its exit code.
+//! Errors of the command and their exit codes.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -8,48 +8,48 @@
 use mintridge_node::settings;
 use mintridge_store::presets::Refused;
 
-/// Why a command did not do what was asked.
+/// Reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The change of a preset was refused, or its effect is not known.
+    /// The change of a preset was rejected, or its outcome is unknown.
     #[error(transparent)]
     Preset(#[from] Refused),
     /// The store could not be read.
     #[error(transparent)]
     Store(#[from] mintridge_store::client::Error),
-    /// A file was not taken.
+    /// A file could not be read or is invalid.
     #[error("{}", .0.current_context())]
     File(Report<settings::Error>),
     /// A value of a preset file is out of range.
     #[error(transparent)]
     Invalid(#[from] Invalid),
-    /// A node did not answer.
-    #[error("node at {0} does not answer")]
-    Node(SocketAddr),
-    /// No node was named.
-    #[error("name a node with --node")]
+    /// A node did not respond.
+    #[error("node at {0} does not respond")]
+    NoResponse(SocketAddr),
+    /// No node was given.
+    #[error("specify at least one node with --node")]
     NoNode,
-    /// The change was made and is not yet seen in force everywhere.
-    #[error("in force on {seen} of {asked} nodes when the wait ended")]
-    NotSeen {
-        /// Nodes that show it.
-        seen: usize,
-        /// Nodes asked.
-        asked: usize,
+    /// The change was made, but was not confirmed by every node before the wait ended.
+    #[error("in force on {confirmed} of {total} nodes when the wait ended")]
+    Unconfirmed {
+        /// Number of nodes on which the change is in force.
+        confirmed: usize,
+        /// Number of nodes asked.
+        total: usize,
     },
-    /// No line of the logs tells of the request.
-    #[error("no line tells of request {0}")]
+    /// No line of the logs mentions the request.
+    #[error("no log line mentions request {0}")]
     NoSuchRequest(String),
-    /// The result cannot be written as JSON.
+    /// The result cannot be serialized as JSON.
     #[error(transparent)]
     Output(#[from] serde_json::Error),
-    /// The runtime cannot be started, or a log file not be read.
-    #[error("cannot start or read: {0}")]
+    /// The runtime cannot be started, or a log file cannot be read.
+    #[error("cannot start the runtime or read a file: {0}")]
     Io(#[from] std::io::Error),
 }
 
 impl Error {
-    /// The exit code, as documented in the help.
+    /// Returns the exit code, as documented in the help.
     #[must_use]
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
@@ -58,7 +58,7 @@
             }
             Self::Preset(Refused::Conflict(_) | Refused::Edited(_)) => 3,
             Self::Preset(Refused::Unknown(_)) => 4,
-            Self::NotSeen { .. } => 5,
+            Self::Unconfirmed { .. } => 5,
             _ => 1,
         })
     }
--- a/crates/ctl/src/flags.rs
+++ b/crates/ctl/src/flags.rs
@@ -1,41 +1,41 @@
-//! Arguments of `mintridge`.
+//! Command-line arguments of `mintridge`.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Operates mintridge: presets, nodes, settings.
+    /// Manages presets, nodes and settings of mintridge.
     ///
-    /// Exit codes: 0 done; 1 failed, and nothing was changed; 2 wrong arguments, file or
-    /// value; 3 somebody else changed it first; 4 not known whether the change took
-    /// effect; 5 changed, but not seen in force on every node in time.
+    /// Exit codes: 0 success; 1 failure, nothing was changed; 2 invalid arguments, file or
+    /// value; 3 another operator changed it first; 4 unknown whether the change took
+    /// effect; 5 changed, but not confirmed in force on every node in time.
     cmd mintridge {
         /// Address of the store, 127.0.0.1:2379 by default.
         optional --store address: SocketAddr
-        /// Operators' address of a node; the others are found through it.
+        /// Address of a node's operator endpoint; the other nodes are discovered through it.
         repeated --node address: SocketAddr
-        /// Milliseconds for one call, 1000 by default.
+        /// Timeout of one call in milliseconds, 1000 by default.
         optional --timeout-ms millis: u64
-        /// Name shown to other operators; the environment's USER by default.
+        /// Name shown to other operators; by default the environment variable USER.
         optional --by name: String
-        /// Print JSON for scripts instead of tables for people.
+        /// Print JSON instead of tables.
         optional --json
 
-        /// Work on presets.
+        /// Manage presets.
         cmd preset {
             /// Check a preset file without changing anything.
             cmd validate {
                 /// Preset file, JSON with comments.
                 required file: PathBuf
             }
-            /// Write a preset; if it is in force, its new contents are in force at once.
+            /// Write a preset; if it is in force, its new contents take effect at once.
             cmd put {
                 /// Name of the preset.
                 required name: String
                 /// Preset file, JSON with comments.
                 required file: PathBuf
-                /// Only if nobody changed it since this store revision, as `show` told.
+                /// Write only if the preset still has this store revision, as printed by `show`.
                 optional --expect revision: i64
             }
             /// List the presets.
@@ -45,7 +45,7 @@
                 /// Name of the preset.
                 required name: String
             }
-            /// Show what differs between two presets.
+            /// Show the differences between two presets.
             cmd diff {
                 /// Name of the first preset.
                 required from: String
@@ -56,7 +56,7 @@
             cmd use {
                 /// Name of the preset.
                 required name: String
-                /// Wait so many seconds until every node found through --node shows it.
+                /// Wait up to this many seconds until it is in force on all nodes found by --node.
                 optional --wait seconds: f64
             }
             /// Delete a preset that is not in force.
@@ -64,22 +64,22 @@
                 /// Name of the preset.
                 required name: String
             }
-            /// Show the preset in force, and who put it in force.
+            /// Show the preset in force and who put it in force.
             cmd in-force {}
         }
-        /// Work on nodes.
+        /// Inspect nodes.
         cmd node {
-            /// Show what each node says of itself and the others.
+            /// Show the state that each node reports of itself and of the other nodes.
             cmd status {}
         }
-        /// Tell the story of one request from the logs of several nodes.
+        /// Show what happened to one request, from the logs of several nodes.
         cmd explain {
-            /// Id of the request, as the caller sent it or as its refusal names it.
+            /// Id of the request, as sent by the caller or as given in the refusal.
             required request: String
             /// Log files of nodes.
             repeated file: PathBuf
         }
-        /// Work on settings files of nodes.
+        /// Work with nodes' settings files.
         cmd settings {
             /// Check a settings file.
             cmd check {
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' command: presets, nodes, settings.
+//! Operators' command-line tool for presets, nodes and settings.
 
 pub mod commands;
 pub mod error;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `mintridge`: the operators' command.
+//! `mintridge`, the operators' command-line tool.
 
 use std::process::ExitCode;
 
--- a/crates/ctl/src/nodes.rs
+++ b/crates/ctl/src/nodes.rs
@@ -1,4 +1,4 @@
-//! Asking nodes for their state.
+//! Queries to nodes for their state.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,58 +13,61 @@
 
 use crate::error::Error;
 
-/// Largest state taken, in bytes.
-const STATE_MOST: usize = 16 * 1024 * 1024;
+/// Upper limit of a node's state document, in bytes.
+const MAX_STATE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Asks one node.
+/// Queries one node.
 ///
 /// # Errors
-/// If it does not answer.
+/// If it does not respond.
 pub async fn status(address: SocketAddr, timeout: Duration) -> Result<Status, Error> {
-    let asked = async {
+    let request = async {
         let client = Client::builder(TokioExecutor::new()).build_http::<Empty<Bytes>>();
         let uri = format!("http://{address}{STATE}").parse().ok()?;
         let response = client.get(uri).await.ok()?;
-        reply::read_json(response.into_body(), STATE_MOST)
+        reply::read_json(response.into_body(), MAX_STATE_BYTES)
             .await
             .ok()
     };
-    let answered = tokio::time::timeout(timeout, asked).await;
-    answered.ok().flatten().ok_or(Error::Node(address))
+    let response = tokio::time::timeout(timeout, request).await;
+    response.ok().flatten().ok_or(Error::NoResponse(address))
 }
 
-/// Asks the named nodes and all nodes they know; failures are part of the result.
+/// Queries the seed nodes and all nodes that they know. The result contains the address of each
+/// node that does not respond.
 ///
 /// # Errors
-/// If none is named, or none of those named answers.
-pub async fn all(
-    named: &[SocketAddr],
+/// If `seeds` is empty, or no seed responds.
+pub async fn statuses(
+    seeds: &[SocketAddr],
     timeout: Duration,
 ) -> Result<Vec<Result<Status, SocketAddr>>, Error> {
-    let mut known: BTreeSet<SocketAddr> = named.iter().copied().collect();
-    let mut failed = Error::NoNode;
-    for address in named {
+    let mut addresses: BTreeSet<SocketAddr> = seeds.iter().copied().collect();
+    let mut last_error = Error::NoNode;
+    for address in seeds {
         match status(*address, timeout).await {
             Ok(status) => {
-                known.extend(
+                addresses.extend(
                     status
                         .view
                         .members
                         .iter()
                         .map(|member| member.operators_address),
                 );
-                failed = Error::NoNode;
+                last_error = Error::NoNode;
                 break;
             }
-            Err(error) => failed = error,
+            Err(error) => last_error = error,
         }
     }
-    if known.len() == named.len() && matches!(failed, Error::Node(_)) || named.is_empty() {
-        return Err(failed);
+    if addresses.len() == seeds.len() && matches!(last_error, Error::NoResponse(_))
+        || seeds.is_empty()
+    {
+        return Err(last_error);
     }
-    let mut asking = tokio::task::JoinSet::new();
-    for address in known {
-        asking.spawn(async move { status(address, timeout).await.map_err(|_| address) });
+    let mut requests = tokio::task::JoinSet::new();
+    for address in addresses {
+        requests.spawn(async move { status(address, timeout).await.map_err(|_| address) });
     }
-    Ok(asking.join_all().await)
+    Ok(requests.join_all().await)
 }
--- a/crates/ctl/tests/command.rs
+++ b/crates/ctl/tests/command.rs
@@ -1,4 +1,4 @@
-//! The operators' command as operators run it: what it prints, and its exit codes.
+//! Output and exit codes of the operators' command.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -32,8 +32,8 @@
         .concat()
 }
 
-/// Runs, expects success, and returns what was printed.
-async fn good(scene: &Scene, arguments: &[&str]) -> String {
+/// Runs the command, asserts that it succeeds, and returns its output.
+async fn run_ok(scene: &Scene, arguments: &[&str]) -> String {
     let output = mintridge(scene.store_address, arguments).await;
     let text = text(&output);
     assert!(output.status.success(), "{arguments:?}: {text}");
@@ -55,13 +55,13 @@
     );
     let path = path.to_str().expect("text");
     let node = scene.addresses(0).operators.to_string();
-    good(&scene, &["preset", "validate", path]).await;
-    let written = good(&scene, &["--node", &node, "preset", "put", "peak", path]).await;
+    run_ok(&scene, &["preset", "validate", path]).await;
+    let written = run_ok(&scene, &["--node", &node, "preset", "put", "peak", path]).await;
     assert!(
         written.contains("service-9"),
         "the unknown host is pointed out: {written}"
     );
-    let used = good(
+    let used = run_ok(
         &scene,
         &[
             "--by", "ana", "--node", &node, "preset", "use", "peak", "--wait", "30",
@@ -69,15 +69,15 @@
     )
     .await;
     assert!(used.contains("in force on 3 of 3 nodes"), "{used}");
-    let in_force = good(&scene, &["--json", "preset", "in-force"]).await;
+    let in_force = run_ok(&scene, &["--json", "preset", "in-force"]).await;
     let in_force: serde_json::Value = serde_json::from_str(&in_force).expect("JSON");
     assert_eq!(in_force["changed_by"], "ana");
-    let listed = good(&scene, &["preset", "list"]).await;
+    let listed = run_ok(&scene, &["preset", "list"]).await;
     assert!(
         listed.contains("peak") && listed.contains("yes"),
         "{listed}"
     );
-    let status = good(&scene, &["--node", &node, "node", "status"]).await;
+    let status = run_ok(&scene, &["--node", &node, "node", "status"]).await;
     assert_eq!(
         status.lines().filter(|line| line.contains("peak")).count(),
         3,
@@ -91,9 +91,9 @@
 async fn preset_diff_shows_what_differs() {
     let scene = scene().await;
     let (a, b) = (file("a.json", "{}"), file("b.json", "{ retry_share: 0.3 }"));
-    good(&scene, &["preset", "put", "a", a.to_str().expect("text")]).await;
-    good(&scene, &["preset", "put", "b", b.to_str().expect("text")]).await;
-    let diff = good(&scene, &["preset", "diff", "a", "b"]).await;
+    run_ok(&scene, &["preset", "put", "a", a.to_str().expect("text")]).await;
+    run_ok(&scene, &["preset", "put", "b", b.to_str().expect("text")]).await;
+    let diff = run_ok(&scene, &["preset", "diff", "a", "b"]).await;
     assert!(
         diff.contains("retry_share") && diff.contains("0.1") && diff.contains("0.3"),
         "{diff}"
@@ -112,7 +112,7 @@
 async fn preset_validate_names_what_is_wrong(
     #[case] name: &str,
     #[case] contents: &str,
-    #[case] said: &str,
+    #[case] message: &str,
 ) {
     let scene = scene().await;
     let path = file(name, contents);
@@ -123,19 +123,19 @@
     ] {
         let output = mintridge(scene.store_address, &arguments).await;
         assert_eq!(output.status.code(), Some(2), "{}", text(&output));
-        assert!(text(&output).contains(said), "{}", text(&output));
+        assert!(text(&output).contains(message), "{}", text(&output));
     }
 }
 
-/// An operator edits what somebody else changed since it was read: told so, with exit
-/// code 3, and nothing is lost.
+/// An operator edits a preset that another operator has changed since it was read. The command must
+/// exit with code 3 and not overwrite the other change.
 #[tokio::test]
 async fn preset_put_with_an_old_revision_is_a_conflict() {
     let scene = scene().await;
     let path = file("edit.json", "{}");
     let path = path.to_str().expect("text");
-    good(&scene, &["preset", "put", "x", path]).await;
-    good(&scene, &["preset", "put", "x", path]).await;
+    run_ok(&scene, &["preset", "put", "x", path]).await;
+    run_ok(&scene, &["preset", "put", "x", path]).await;
     let old = mintridge(
         scene.store_address,
         &["preset", "put", "x", path, "--expect", "1"],
@@ -144,13 +144,13 @@
     assert_eq!(old.status.code(), Some(3), "{}", text(&old));
 }
 
-/// The store goes out after the write took effect and before it can be read back: the
-/// command does not claim to know, with exit code 4.
+/// The store becomes unavailable after the write took effect and before it can be read back. The
+/// command must report an unknown outcome with exit code 4.
 #[tokio::test]
-async fn preset_use_with_everything_lost_says_unknown() {
+async fn preset_use_reports_unknown_outcome_when_the_store_fails() {
     let scene = scene().await;
     let path = file("lost.json", "{}");
-    good(
+    run_ok(
         &scene,
         &["preset", "put", "x", path.to_str().expect("text")],
     )
@@ -161,7 +161,7 @@
         ..Faults::default()
     });
     let writes = store.calls().writes;
-    let goes_down = tokio::spawn(async move {
+    let outage = tokio::spawn(async move {
         let wrote = || store.calls().writes > writes;
         mintridge_standin::scene::wait_for("it wrote", wrote).await;
         store.set_faults(Faults {
@@ -170,16 +170,16 @@
         });
     });
     let output = mintridge(scene.store_address, &["preset", "use", "x"]).await;
-    goes_down.await.expect("joined");
+    outage.await.expect("joined");
     assert_eq!(output.status.code(), Some(4), "{}", text(&output));
 }
 
 #[tokio::test]
 async fn settings_defaults_pass_their_own_check() {
     let scene = scene().await;
-    let defaults = good(&scene, &["settings", "defaults"]).await;
+    let defaults = run_ok(&scene, &["settings", "defaults"]).await;
     let path = file("defaults.json", &defaults);
-    good(&scene, &["settings", "check", path.to_str().expect("text")]).await;
+    run_ok(&scene, &["settings", "check", path.to_str().expect("text")]).await;
 }
 
 #[tokio::test]
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! From the id of a failed request to its cause, by the logs of real nodes alone.
+//! The cause of a failed request, found by its id in log lines of nodes.
 
 use std::fs;
 use std::io::Write;
@@ -35,16 +35,16 @@
     r#"{"timestamp":"2026-01-12T08:00:01.500+00:00","level":"INFO","target":"n","message":"refused beside the upstream","kvs":{"request":"r-2","reason":"busy"},"diags":{"host":"host-2"}}"#,
 ];
 
-/// A request was refused by one node and its link to the next broke: the lines of both files
-/// come in order of time, those of other requests stay out, and the last word is explained.
+/// One node refused a request and the link to another broke. The lines of both files must be sorted
+/// by time, lines of other requests omitted, and the outcome logged by the entry node explained.
 #[test]
 fn explain_joins_files_in_order_of_time() {
     let files = [file("entry", &ENTRY), file("guard", &GUARD)];
     let output = explain("r-1", &files);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(output.status.success(), "{output:?}");
-    let refused = text.find("refused beside the upstream").expect("told");
-    let attempt = text.find("outcome=late").expect("told");
+    let refused = text.find("refused beside the upstream").expect("printed");
+    let attempt = text.find("outcome=late").expect("printed");
     assert!(refused < attempt, "{text}");
     assert!(!text.contains("busy"), "{text}");
     assert!(text.contains("cause: link-lost (502)"), "{text}");
