--- a/crates/node/src/configs.rs
+++ b/crates/node/src/configs.rs
@@ -1,4 +1,4 @@
-//! Settings of each module of the node; `Default` documents the defaults.
+//! Settings of each module of the node; the `Default` implementations define the defaults.
 
 pub mod callers;
 pub mod claims;
--- a/crates/node/src/configs/callers.rs
+++ b/crates/node/src/configs/callers.rs
@@ -1,4 +1,4 @@
-//! Settings of the callers' side of a node.
+//! Settings of the connections and requests of callers.
 
 use std::time::Duration;
 
@@ -8,44 +8,46 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Header that names the service; without it the host name does.
+    /// Header that names the service; if it is absent, the host name does.
     pub service_header: String,
-    /// Header that names the client account on whose behalf the request runs.
+    /// Header that names the client account on whose behalf the request is sent.
     pub client_account_header: String,
-    /// Header with the time allowed, in milliseconds.
+    /// Header with the timeout of the request in milliseconds.
     pub timeout_header: String,
-    /// Header with the idempotency key of an unrepeatable request.
+    /// Header with the idempotency key of a non-idempotent request.
     pub key_header: String,
-    /// Header with the caller's own id of the request. It must be present if named here,
-    /// passes on unchanged, and must come back with the upstream's answer.
+    /// Header with the request id chosen by the caller. If set here, callers must send it, it is
+    /// forwarded unchanged, and the upstream must return it in its response.
     pub request_header: Option<String>,
-    /// Header that tells the upstream where a request began; set whatever was sent.
+    /// Header that tells the upstream which service sent the request; replaces any value sent by
+    /// the caller.
     pub origin_header: Option<String>,
-    /// What that header holds: the service of the upstream on this host.
+    /// Value of `origin_header`: the service of the upstream on this host.
     pub origin: String,
-    /// Tell callers when to come back in fractions of a second; HTTP itself knows whole
+    /// Whether `Retry-After` is sent with fractions of a second; standard HTTP allows whole
     /// seconds only.
     pub retry_after_fractions: bool,
-    /// Time for the head of a request to arrive, counted from the end of the one before.
+    /// Timeout for receiving the head of a request, counted from the end of the previous request.
     #[serde(with = "humantime_serde")]
     pub header_within: Duration,
-    /// Time allowed to a request that does not say.
+    /// Timeout of a request that specifies none.
     #[serde(with = "humantime_serde")]
     pub timeout_default: Duration,
-    /// Longest time allowed to any request.
+    /// Maximum timeout of any request.
     #[serde(with = "humantime_serde")]
     pub timeout_most: Duration,
-    /// How long after the deadline a refusal on its way is still waited for.
+    /// How long after the deadline the node still waits for a refusal that may be in transit.
     #[serde(with = "humantime_serde")]
     pub grace: Duration,
-    /// Bytes of a request body kept until it is known that no second attempt is made.
+    /// Maximum bytes of a request body buffered until it is certain that no retry follows.
     pub replay_most: usize,
-    /// A body that does not move for this long is broken off.
+    /// Idle timeout of a body transfer.
     #[serde(with = "humantime_serde")]
     pub body_idle: Duration,
-    /// Requests of one connection worked on at once; further ones wait in the socket.
+    /// Maximum number of requests processed at once per connection; further ones wait in the
+    /// socket.
     pub pipelined_most: usize,
-    /// Connections of callers open at once.
+    /// Maximum number of open connections from callers.
     pub connections_most: usize,
 }
 
--- a/crates/node/src/configs/claims.rs
+++ b/crates/node/src/configs/claims.rs
@@ -1,4 +1,4 @@
-//! Settings of the calls that claim idempotency keys.
+//! Settings of the thread that claims idempotency keys.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Requests between the guard and the claims thread.
+    /// Capacity of the queue from the guard to the claims thread.
     pub ring: usize,
 }
 
--- a/crates/node/src/configs/control.rs
+++ b/crates/node/src/configs/control.rs
@@ -1,4 +1,4 @@
-//! Settings of the exchanges with peers and the store.
+//! Settings of the communication with peers and the store.
 
 use std::time::Duration;
 
@@ -8,31 +8,32 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// How often a holder reads the preset in force beside its watch.
+    /// How often a designated reader reads the preset in force in addition to its watch.
     #[serde(with = "humantime_serde")]
     pub store_read_every: Duration,
-    /// How long one watch of the store waits for a change.
+    /// How long a single watch of the store waits for a change.
     #[serde(with = "humantime_serde")]
     pub watch_for: Duration,
-    /// How often a holder renews its entry among the seeds and reads the others.
+    /// How often a designated reader renews its seed entry and reads the other seeds.
     #[serde(with = "humantime_serde")]
     pub seeds_every: Duration,
-    /// How long an entry among the seeds outlives its node.
+    /// Time to live of a seed entry that is no longer renewed.
     #[serde(with = "humantime_serde")]
     pub seed_time_to_live: Duration,
-    /// A node that has heard no peer for this long reads the store itself.
+    /// A node that has had no contact with any peer for this long reads the store itself.
     #[serde(with = "humantime_serde")]
     pub isolated_after: Duration,
-    /// Peers told at once of a change.
+    /// Number of peers that are notified of a change immediately.
     pub push_to: usize,
-    /// A peer that is behind has this long to take a document: a preset or a routing table.
+    /// Timeout for sending a newer document (a preset or a routing table) to a peer.
     #[serde(with = "humantime_serde")]
     pub document_within: Duration,
-    /// Exchanges with differing tables before a whole table is asked for.
+    /// Number of exchanges with differing membership tables after which the full table is
+    /// requested.
     pub pull_after: u32,
-    /// Connections of peers open at once.
+    /// Maximum number of open connections from peers.
     pub connections_most: usize,
-    /// Largest message taken from a peer.
+    /// Maximum size of a message from a peer, in bytes.
     pub message_bytes_most: usize,
 }
 
--- a/crates/node/src/configs/guard.rs
+++ b/crates/node/src/configs/guard.rs
@@ -8,20 +8,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Time to open a connection to the upstream.
+    /// Timeout for opening a connection to the upstream.
     #[serde(with = "humantime_serde")]
     pub connect_within: Duration,
-    /// An idle connection to the upstream is not used again after this; keep it below the upstream's own limit.
+    /// Idle connections to the upstream are not reused after this time; keep it below the
+    /// upstream's own idle timeout.
     #[serde(with = "humantime_serde")]
     pub idle_connections_for: Duration,
-    /// Idle connections to the upstream kept open.
+    /// Maximum number of idle connections to the upstream.
     pub idle_connections_most: usize,
-    /// Least time between two load reports sent to one peer beside answers.
+    /// Minimum interval between two load reports that are sent to a peer separately from
+    /// responses.
     #[serde(with = "humantime_serde")]
     pub report_every: Duration,
-    /// Announcements between their listener and the guard.
+    /// Capacity of the queue of announcements from their listener to the guard.
     pub announcements_ring: usize,
-    /// Ends of the upstream and answers to suspected requests, between the guard and control.
+    /// Capacity of the queue from the guard to control, which carries crashes of the upstream and
+    /// responses to suspect requests.
     pub suspicions_ring: usize,
 }
 
--- a/crates/node/src/configs/link.rs
+++ b/crates/node/src/configs/link.rs
@@ -8,23 +8,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Time to open a link.
+    /// Timeout for opening a link.
     #[serde(with = "humantime_serde")]
     pub connect_within: Duration,
-    /// A link that was silent for this long is checked before a request is sent on it.
+    /// A link that has been idle for this long is checked before a request is sent on it.
     #[serde(with = "humantime_serde")]
     pub check_after_idle: Duration,
-    /// Time for that check; a link that misses it is replaced.
+    /// Timeout of that check; a link that fails it is replaced.
     #[serde(with = "humantime_serde")]
     pub check_within: Duration,
-    /// A link that was silent for this long is closed, or the memory of a node would follow the size
-    /// of the fleet. A new link takes one trip more than the check of an old one.
+    /// A link that has been idle for this long is closed; otherwise the memory use of a node would
+    /// grow with the size of the fleet. Opening a new link takes one round trip more than checking
+    /// an idle one.
     #[serde(with = "humantime_serde")]
     pub close_after_idle: Duration,
-    /// How often a link with requests in progress is checked.
+    /// Interval between pings on a link with requests in flight.
     #[serde(with = "humantime_serde")]
     pub ping_every: Duration,
-    /// A link that misses a check for this long is closed.
+    /// A link on which a ping is unanswered for this long is closed.
     #[serde(with = "humantime_serde")]
     pub ping_within: Duration,
 }
--- a/crates/node/src/configs/listeners.rs
+++ b/crates/node/src/configs/listeners.rs
@@ -1,28 +1,29 @@
-//! Addresses on which a node listens; port 0 takes any free one.
+//! Addresses on which a node listens; port 0 selects any free port.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use serde::{Deserialize, Serialize};
 
-/// Listeners of [`crate::node`].
+/// Settings of the listeners opened by [`crate::node`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Callers, HTTP/1.1.
+    /// Address for callers (HTTP/1.1).
     pub callers: SocketAddr,
-    /// Requests from peers, HTTP/2.
+    /// Address for requests from peers (HTTP/2).
     pub peers: SocketAddr,
-    /// Where peers reach that listener, if something stands in between.
+    /// Address at which peers reach the `peers` listener if it differs, for example behind a proxy.
     pub peers_public: Option<SocketAddr>,
-    /// Exchanges with peers, Cap'n Proto.
+    /// Address for exchanges with peers (Cap'n Proto).
     pub control: SocketAddr,
-    /// Announcements of the upstream, HTTP/1.1.
+    /// Address for announcements of the upstream (HTTP/1.1).
     pub announcements: SocketAddr,
-    /// Operators: health, metrics, state.
+    /// Address for operators: health, metrics and state.
     pub operators: SocketAddr,
-    /// A further address for operators, where theirs changes and collectors need a fixed one.
+    /// Additional address for operators, for metrics collectors that need a fixed address while
+    /// `operators` changes.
     pub metrics: Option<SocketAddr>,
-    /// New connections that wait to be accepted, on each listener.
+    /// Maximum number of connections waiting to be accepted, per listener.
     pub backlog: i32,
 }
 
--- a/crates/node/src/configs/logs.rs
+++ b/crates/node/src/configs/logs.rs
@@ -6,11 +6,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Least level logged: error, warn, info, debug or trace; or a filter as in `info,mintridge_node=debug`.
+    /// Minimum log level (error, warn, info, debug or trace), or a filter such as
+    /// `info,mintridge_node=debug`.
     pub level: String,
-    /// Lines about requests that each duty writes in a second; what goes beyond is counted.
+    /// Maximum number of request log lines per second and duty; lines beyond it are only counted.
     pub request_lines_per_second: u32,
-    /// One in so many requests that succeed is logged; 0 for none.
+    /// One out of this many successful requests is logged; 0 logs none.
     pub sample_one_in: u64,
 }
 
--- a/crates/node/src/configs/node.rs
+++ b/crates/node/src/configs/node.rs
@@ -1,4 +1,4 @@
-//! Settings of a node's start and stop.
+//! Settings of the startup and shutdown of a node.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// After a stop is asked for, how long callers are still served while peers learn of it.
+    /// How long a stopping node keeps serving callers, which are told to use another node.
     #[serde(with = "humantime_serde")]
     pub linger: Duration,
-    /// Requests still in progress this long after a stop was asked for are cut.
+    /// Requests still in flight this long after a stop is requested are aborted.
     #[serde(with = "humantime_serde")]
     pub stop_within: Duration,
 }
--- a/crates/node/src/configs/routes.rs
+++ b/crates/node/src/configs/routes.rs
@@ -6,9 +6,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Key of the routing table in the store; without it requests name their service.
+    /// Key of the routing table in the store; if unset, requests name their service.
     pub key: Option<String>,
-    /// What the keys of evacuated availability zones begin with, each followed by its zone; without
-    /// it none is ever evacuated. They are read and watched together with the routing table.
+    /// Prefix of the keys of evacuated availability zones; the name of the zone follows it. If
+    /// unset, no zone is ever evacuated. These keys are read and watched together with the routing
+    /// table.
     pub evacuations: Option<String>,
 }
--- a/crates/node/src/configs/store.rs
+++ b/crates/node/src/configs/store.rs
@@ -14,11 +14,11 @@
 pub struct Settings {
     /// Address of the store's JSON API.
     pub address: SocketAddr,
-    /// Time for one call.
+    /// Timeout of one call.
     #[serde(with = "humantime_serde")]
     pub timeout: Duration,
-    /// Header of each answer that says how often the store has come back from an older copy;
-    /// without it such a return is not noticed.
+    /// Response header that counts how often the store has been restored from an older copy; if
+    /// unset, a restore is not detected.
     pub epoch_header: Option<String>,
 }
 
--- a/crates/node/src/configs/upstream.rs
+++ b/crates/node/src/configs/upstream.rs
@@ -1,30 +1,31 @@
-//! Settings of what the upstream understands.
+//! Settings of the headers that the upstream supports.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Headers that the upstream beside the node understands or sends; one that is not named
-/// is neither sent nor looked for.
+/// Address of the upstream, and headers that it accepts or sends; a header that is not set here is
+/// neither sent nor read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Where the upstream is asked at the start who it is; without it the node waits for its
-    /// announcement. Needs the headers for instance and load.
+    /// Address at which the node discovers the upstream on startup; if unset, the node waits for an
+    /// announcement of the upstream. Requires `instance_header` and `load_header`.
     pub address: Option<SocketAddr>,
-    /// Names the instance that is meant; another one refuses the request.
+    /// Header that names the intended instance; any other instance refuses the request.
     pub expected_instance_header: Option<String>,
-    /// Names the instance that answered a health check or refused a request.
+    /// Header that names the instance that answered a health check or refused a request.
     pub instance_header: Option<String>,
-    /// Present on an answer to a request that did not run.
+    /// Header that marks the response to a request that was not executed.
     pub not_run_header: Option<String>,
-    /// Must be present on an answer of success.
+    /// Header that every successful response must carry.
     pub signature_header: Option<String>,
-    /// Load of the upstream, on its answers.
+    /// Header with the load of the upstream, on its responses.
     pub load_header: Option<String>,
-    /// How much longer the upstream stays cold, on answers to health checks.
+    /// Header with the remaining time for which the upstream stays cold, on responses to health
+    /// checks.
     pub cold_header: Option<String>,
-    /// Bytes of an answer held until it is complete. An answer that breaks off before can
-    /// still be replaced by a second attempt; a longer one passes on as it comes.
+    /// Maximum bytes of a response that are buffered until it is complete. A buffered response that
+    /// breaks off can still be replaced by a retry; a longer response is streamed.
     pub answer_held_most: usize,
 }
--- a/crates/node/src/flags.rs
+++ b/crates/node/src/flags.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// The process beside each upstream.
+    /// The node process that runs beside each upstream.
     cmd mintridge-node {
         /// Settings file, JSON with comments.
         required settings: PathBuf
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,19 +1,19 @@
-//! The node: one small process beside each upstream.
+//! The node: a small process that runs beside each upstream.
 //!
-//! It is the entry for the callers on its host and the guard of its upstream. A request
-//! meets the modules in this order:
+//! The node accepts requests from the callers on its host (the entry) and controls which requests
+//! reach its upstream (the guard). A request passes through the modules in this order:
 //!
 //! | step | module |
 //! |---|---|
-//! | a caller's request is read | [`arrival`] |
-//! | a host is chosen, tried, perhaps another | [`entry`] |
-//! | the request goes to the node beside it | [`link`], [`headers`], [`replay`] |
-//! | that node admits it, claims its key, hands it over | [`guard`], [`claims`] |
-//! | the answer comes back | [`body`] |
+//! | parse the caller's request | [`arrival`] |
+//! | choose a host, send the request, retry on another host if needed | [`entry`] |
+//! | send the request to the node on the chosen host | [`link`], [`headers`], [`replay`] |
+//! | that node admits the request, claims its key and forwards it | [`guard`], [`claims`] |
+//! | return the response | [`body`] |
 //!
-//! [`duties`] lists the threads; [`control`] keeps members and the preset in force up to
-//! date; [`operators`] answers people and their tools. Decisions are made in
-//! `mintridge-core`; here are the sockets, threads and timers round it.
+//! [`duties`] lists the threads, [`control`] keeps the member list and the preset in force up to
+//! date, and [`operators`] serves health, metrics and state. `mintridge-core` makes the decisions;
+//! this crate provides the sockets, threads and timers.
 
 pub mod adapter;
 pub mod announcement;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! `mintridge-node`: the process beside each upstream.
+//! `mintridge-node`: the node process that runs beside each upstream.
 
 use std::process::ExitCode;
 
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! A node's settings file: JSON with comments, checked as a whole before anything runs.
+//! Settings file of a node: JSON with comments, validated completely before the node starts.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,49 +11,49 @@
 
 use crate::configs;
 
-/// All settings of a node. `host` and `availability_zone` are required; everything
-/// else has a default.
+/// All settings of a node. `host` and `availability_zone` are required; all other settings have
+/// defaults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of this host, unlike that of any other.
+    /// Name of this host, unique among all hosts.
     pub host: Arc<str>,
-    /// Availability zone in which it stands.
+    /// Availability zone of this host.
     pub availability_zone: Arc<str>,
-    /// Where the node listens.
+    /// Addresses on which the node listens.
     #[serde(default)]
     pub listeners: configs::listeners::Settings,
-    /// Control addresses of some other nodes, tried when the store does not answer.
+    /// Control addresses of other nodes to contact when the store does not respond.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// Control port of all peers, where `peers` names other ports of their hosts.
+    /// Control port of all peers, if `peers` lists their hosts with other ports.
     #[serde(default)]
     pub peers_port: Option<u16>,
     /// The platform's key-value store.
     #[serde(default)]
     pub store: configs::store::Settings,
-    /// Start and stop.
+    /// Startup and shutdown of the node.
     #[serde(default)]
     pub node: configs::node::Settings,
-    /// The callers' side.
+    /// Connections and requests of callers.
     #[serde(default)]
     pub callers: configs::callers::Settings,
-    /// Links to peers.
+    /// Connections to peers.
     #[serde(default)]
     pub link: configs::link::Settings,
     /// Calls to the upstream.
     #[serde(default)]
     pub guard: configs::guard::Settings,
-    /// What the upstream understands.
+    /// Headers that the upstream supports.
     #[serde(default)]
     pub upstream: configs::upstream::Settings,
     /// The routing table.
     #[serde(default)]
     pub routes: configs::routes::Settings,
-    /// Claims on idempotency keys: the thread.
+    /// Thread that claims idempotency keys.
     #[serde(default)]
     pub claims: configs::claims::Settings,
-    /// Exchanges with peers and the store.
+    /// Communication with peers and the store.
     #[serde(default)]
     pub control: configs::control::Settings,
     /// Logs.
@@ -62,40 +62,40 @@
     /// Traces.
     #[serde(default)]
     pub traces: configs::traces::Settings,
-    /// Admission beside the upstream.
+    /// Admission control for the upstream.
     #[serde(default)]
     pub admission: core::admission::Settings,
-    /// Claims on idempotency keys: the decisions.
+    /// Decisions on claims of idempotency keys.
     #[serde(default)]
     pub claim: core::claim::Settings,
-    /// The gate before the upstream.
+    /// Conditions under which requests are forwarded to the upstream.
     #[serde(default)]
     pub gate: core::gate::Settings,
-    /// Trust in the upstream.
+    /// Health of the upstream.
     #[serde(default)]
     pub health: core::health::Settings,
-    /// Membership.
+    /// Cluster membership.
     #[serde(default)]
     pub membership: core::membership::Settings,
-    /// When a node that starts turns to the store.
+    /// When a starting node reads from the store.
     #[serde(default)]
     pub bootstrap: core::bootstrap::Settings,
-    /// Failover between readers of the store.
+    /// Failover between nodes that read the store.
     #[serde(default)]
     pub failover: core::failover::Settings,
-    /// Choice of an upstream.
+    /// Selection of an upstream for each request.
     #[serde(default)]
     pub placement: core::placement::Settings,
-    /// Probes of a doubtful upstream.
+    /// Probes of an upstream whose health is in doubt.
     #[serde(default)]
     pub probe: core::probe::Settings,
-    /// Requests that end upstreams.
+    /// Quarantine of requests that crash upstreams.
     #[serde(default)]
     pub quarantine: core::quarantine::Settings,
-    /// Second attempts.
+    /// Retries.
     #[serde(default)]
     pub retry: core::retry::Settings,
-    /// The bound on cold upstreams.
+    /// Limits for cold upstreams.
     #[serde(default)]
     pub warm_up: core::warm_up::Settings,
 }
@@ -135,25 +135,25 @@
     }
 }
 
-/// Why a settings file was not taken.
+/// Why a settings file was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file cannot be read.
     #[error("{}: cannot be read", path.display())]
-    Unread {
+    Unreadable {
         /// The file.
         path: PathBuf,
     },
-    /// A key is unknown, or a value has the wrong form.
+    /// A key is unknown or missing, or a value has the wrong type or syntax.
     #[error("{}:{line}: {key}: {problem}", path.display())]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// Line of the value, from 1; 0 if the parser does not tell.
+        /// Line of the value, starting at 1; 0 if the parser does not report it.
         line: usize,
         /// Path of the key.
         key: String,
-        /// What was found and what is allowed.
+        /// Description of the problem, from the parser.
         problem: String,
     },
     /// A value is out of range.
@@ -165,31 +165,32 @@
         key: &'static str,
         /// The value found.
         found: f64,
-        /// What is allowed.
+        /// The allowed range.
         allowed: &'static str,
     },
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
-/// If the file cannot be read, or a key or value is not allowed.
+/// If the file cannot be read, or a key or value is invalid.
 pub fn load(path: &Path) -> Result<Settings, Report<Error>> {
     let settings: Settings = read(path)?;
     check(path, &settings)?;
     Ok(settings)
 }
 
-/// Reads JSON with comments.
+/// Reads a file of JSON with comments.
 ///
 /// # Errors
-/// If the file cannot be read, or a key or value has the wrong form.
+/// If the file cannot be read, a key is unknown or missing, or a value has the wrong type or
+/// syntax.
 pub fn read<T: DeserializeOwned>(path: &Path) -> Result<T, Report<Error>> {
-    let text = std::fs::read_to_string(path).change_context_lazy(|| Error::Unread {
+    let text = std::fs::read_to_string(path).change_context_lazy(|| Error::Unreadable {
         path: path.to_owned(),
     })?;
-    let mut reader = json5::Deserializer::from_str(&text);
-    serde_path_to_error::deserialize(&mut reader).map_err(|error| {
+    let mut deserializer = json5::Deserializer::from_str(&text);
+    serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
         let line = error
             .inner()
             .position()
@@ -203,12 +204,12 @@
     })
 }
 
-/// One bound of one value.
+/// Allowed range of one value.
 struct Bound {
     key: &'static str,
     found: f64,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
     allowed: &'static str,
 }
 
@@ -217,15 +218,15 @@
     let share = |key, found| Bound {
         key,
         found,
-        least: f64::MIN_POSITIVE,
-        most: 1.0,
+        min: f64::MIN_POSITIVE,
+        max: 1.0,
         allowed: "above 0 to 1",
     };
     let at_least_one = |key, found| Bound {
         key,
         found,
-        least: 1.0,
-        most: 1e6,
+        min: 1.0,
+        max: 1e6,
         allowed: "1 to 1000000",
     };
     [
@@ -247,8 +248,8 @@
         Bound {
             key: "claim.batch_most",
             found: settings.claim.batch_most as f64,
-            least: 1.0,
-            most: mintridge_store::wire::TXN_OPERATIONS_MOST as f64,
+            min: 1.0,
+            max: mintridge_store::wire::TXN_OPERATIONS_MOST as f64,
             allowed: "1 to 128",
         },
     ]
@@ -256,7 +257,7 @@
 
 fn check(path: &Path, settings: &Settings) -> Result<(), Report<Error>> {
     for bound in bounds(settings) {
-        if (bound.least..=bound.most).contains(&bound.found) {
+        if (bound.min..=bound.max).contains(&bound.found) {
             continue;
         }
         return Err(Report::new(Error::Range {
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: what is wrong is named, and the examples work.
+//! Settings files: errors name the invalid value, and the examples are valid.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 use mintridge_node::settings::{Settings, load};
 use rstest::rstest;
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_settings(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!(
         "mintridge-settings-{}-{name}.json",
         std::process::id()
@@ -15,7 +15,8 @@
     path
 }
 
-const GOOD: &str = "host: 'a', availability_zone: 'z'";
+/// The required settings; replaces `SELF` in the cases.
+const REQUIRED: &str = "host: 'a', availability_zone: 'z'";
 
 #[rstest]
 #[case::unknown_key("unknown", "{ SELF,\n retry: { attemps: 3 } }", &[":2:", "retry.attemps", "`attempts`"])]
@@ -23,8 +24,8 @@
 #[case::out_of_range("range", "{ SELF, retry: { attempts: 0 } }", &["retry.attempts", "0", "1 to 1000000"])]
 #[case::required("required", "{ host: 'a' }", &["availability_zone"])]
 #[case::not_json("syntax", "{ host: ", &[":1:", "EOF"])]
-fn load_names_what_is_wrong(#[case] name: &str, #[case] text: &str, #[case] parts: &[&str]) {
-    let path = file(name, &text.replace("SELF", GOOD));
+fn load_error_names_invalid_value(#[case] name: &str, #[case] text: &str, #[case] parts: &[&str]) {
+    let path = write_settings(name, &text.replace("SELF", REQUIRED));
     let error = load(&path)
         .expect_err("refused")
         .current_context()
@@ -37,8 +38,8 @@
 }
 
 #[test]
-fn load_takes_comments_and_fills_in_defaults() {
-    let path = file(
+fn load_accepts_comments_and_fills_in_defaults() {
+    let path = write_settings(
         "good",
         "{ // a comment\n host: 'a', /* and one */ availability_zone: 'z' }",
     );
@@ -53,19 +54,19 @@
 }
 
 #[test]
-fn load_takes_every_example() {
+fn load_accepts_every_example() {
     let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
-    let mut taken = 0;
+    let mut loaded = 0;
     for deployment in ["presse-maurice", "wisla"] {
         for entry in fs::read_dir(examples.join(deployment)).expect("examples") {
             load(&entry.expect("an entry").path()).expect("a good example");
-            taken += 1;
+            loaded += 1;
         }
     }
-    assert_eq!(taken, 12 + 11);
+    assert_eq!(loaded, 12 + 11);
 }
 
-/// The page of settings names every key with the default that the code has.
+/// The settings page documents every key with the default defined in the code.
 #[test]
 fn defaults_are_as_documented() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/SETTINGS.md");
