--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -1,4 +1,4 @@
-//! What the duties of a node share.
+//! State shared by the duties of a node.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -24,147 +24,147 @@
 use crate::metrics::Metrics;
 use crate::settings::Settings;
 
-/// Members and preset as this node knows them.
+/// Members and preset as known to this node.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct View {
-    /// Records of all hosts that are there, the own one included.
+    /// Records of all present hosts, including this one.
     pub members: Vec<Record>,
-    /// The preset in force here.
+    /// The preset in force on this node.
     pub in_force: Arc<InForce>,
-    /// Whether this node is one of those that use the store.
+    /// Whether this node is a designated reader of the store.
     pub holder: bool,
-    /// Availability zones whose upstreams get nothing new.
+    /// Evacuated availability zones, whose upstreams get no new requests.
     #[serde(default)]
     pub evacuated: BTreeSet<Arc<str>>,
 }
 
-/// The upstream beside this node, as its guard sees it.
+/// State of the upstream beside this node, as observed by its guard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Guarded {
-    /// Its load, counted.
+    /// Load of the upstream, as counted by the guard.
     pub load: Report,
-    /// Why nothing new is let through, if so.
+    /// Why no new requests are forwarded to the upstream; `None` if they are.
     pub closed: Option<Reason>,
-    /// Whether its failures made it doubtful.
+    /// Whether the upstream is marked doubtful because of its failures.
     pub doubtful: bool,
     /// Upstream time spent on probes so far, in microseconds.
     pub probe_micros: u64,
 }
 
-/// Progress of a planned stop.
+/// Progress of a graceful stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Serving.
+    /// The node serves requests.
     Serving,
-    /// A stop was asked for: callers are told to go elsewhere and are still served.
+    /// A stop has been requested. Callers are still served and are told to use another node.
     Leaving,
-    /// Nothing new is let through to the upstream and peers are told. Listeners of callers
-    /// are closed; requests in progress are finished.
+    /// No new requests are forwarded to the upstream, and peers are informed. The listener for
+    /// callers is closed; requests in progress are finished.
     ClosingCallers {
-        /// What is not finished by then is cut.
+        /// Deadline after which requests in progress are aborted.
         give_up_at: Instant,
     },
-    /// Listeners of peers are closed as well.
+    /// The listener for peers is closed as well.
     ClosingPeers {
-        /// What is not finished by then is cut.
+        /// Deadline after which requests in progress are aborted.
         give_up_at: Instant,
     },
-    /// Only the goodbye is left.
+    /// The remaining listeners and duties end, and the node leaves the cluster.
     Ending,
 }
 
-/// Addresses on which the node really listens.
+/// Addresses on which the node listens, with the ports that were bound.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// Callers.
+    /// Listener for callers.
     pub callers: SocketAddr,
-    /// Requests from peers.
+    /// Listener for requests from peers.
     pub peers: SocketAddr,
-    /// Exchanges with peers.
+    /// Listener for exchanges with peers.
     pub control: SocketAddr,
-    /// Announcements of the upstream.
+    /// Listener for announcements of the upstream.
     pub announcements: SocketAddr,
-    /// Operators.
+    /// Listener for operators.
     pub operators: SocketAddr,
 }
 
-/// Sending ends of the bounded rings between duties.
+/// Senders of the bounded queues between duties.
 #[derive(Debug)]
 pub struct Rings {
-    /// To the guard.
+    /// Announcements of the upstream, to the guard.
     pub announcements: mpsc::Sender<Heard>,
-    /// To the claims thread.
+    /// Claims on idempotency keys, to the claims thread.
     pub claims: mpsc::Sender<Job>,
-    /// To control: what the guard saw of requests that end upstreams.
+    /// Events of the guard about requests that crash upstreams, to control.
     pub suspicions: mpsc::Sender<Event>,
 }
 
-/// Latest values passed between duties; a new one replaces the old, so none of these
-/// can fill up.
+/// Watch channels between duties. A new value replaces the previous one, so these channels cannot
+/// fill up.
 #[derive(Debug)]
 pub struct Latest {
-    /// From control.
+    /// Members and preset, from control.
     pub view: watch::Sender<Arc<View>>,
-    /// From control: the routing table in force here; `None` until the first is known.
+    /// Routing table in force on this node, from control; `None` until the first one is known.
     pub routes: watch::Sender<Option<Arc<Document>>>,
-    /// From control: what requests are held to, since upstreams ended under some.
+    /// Suspect requests to check new requests against, from control.
     pub screen: watch::Sender<Arc<Screen>>,
-    /// From the guard: the upstream as others should see it.
+    /// State of the upstream to publish to other nodes, from the guard.
     pub upstream: watch::Sender<Option<Upstream>>,
-    /// From the guard, for operators.
+    /// State of the upstream for operators, from the guard.
     pub guarded: watch::Sender<Guarded>,
-    /// From the entry, for operators.
+    /// Upstreams as known to the entry, for operators.
     pub seen: watch::Sender<Vec<Seen>>,
-    /// From control: when the last exchange or read that succeeded was begun.
+    /// Start time of the last successful exchange with a peer or read of the store, from control.
     pub refreshed: watch::Sender<Instant>,
-    /// From the settings file, as it was last accepted; [`crate::reload::LIVE`] tells which
-    /// sections of it count.
+    /// Last accepted version of the settings file. Only the sections in
+    /// [`crate::reload::LIVE_SECTIONS`] take effect.
     pub settings: watch::Sender<Arc<Settings>>,
-    /// From the node's owner.
+    /// Stage of a graceful stop, set by [`crate::node::Node`].
     pub stage: watch::Sender<Stage>,
 }
 
-/// Built once at the start and passed to every duty.
+/// State shared by all duties; created once at startup.
 #[derive(Debug)]
 pub struct Context {
-    /// The settings at the start.
+    /// Settings at startup.
     pub settings: Settings,
-    /// How the node's surroundings speak.
+    /// Functions that translate between the node and its platform.
     pub adapter: Adapter,
-    /// Where the node listens.
+    /// Addresses on which the node listens.
     pub addresses: Addresses,
-    /// Start of this process, in milliseconds since the Unix epoch.
+    /// Start time of this process, in milliseconds since the Unix epoch.
     pub incarnation: u64,
-    /// Counters.
+    /// Metrics of this node.
     pub metrics: Metrics,
-    /// How often the store has come back from an older copy.
+    /// Number of times the store has been restored from an older copy.
     pub epochs: Epochs,
-    /// Rings between duties.
+    /// Queues between duties.
     pub rings: Rings,
-    /// Latest values between duties.
+    /// Watch channels between duties.
     pub latest: Latest,
 }
 
 impl Context {
-    /// Name of this host.
+    /// Returns the name of this host.
     #[must_use]
     pub const fn host(&self) -> &Arc<str> {
         &self.settings.host
     }
 
-    /// The settings as they were last accepted.
+    /// Returns the last accepted settings.
     #[must_use]
     pub fn live(&self) -> Arc<Settings> {
         Arc::clone(&self.latest.settings.borrow())
     }
 
-    /// The preset in force here.
+    /// Returns the preset in force on this node.
     #[must_use]
     pub fn in_force(&self) -> Arc<InForce> {
         Arc::clone(&self.latest.view.borrow().in_force)
     }
 
-    /// Version of the routing table in force here; 0 while none is known.
+    /// Returns the version of the routing table in force on this node; 0 if there is none yet.
     #[must_use]
     pub fn routes_version(&self) -> u64 {
         let routes = self.latest.routes.borrow();
@@ -173,20 +173,20 @@
             .map_or(0, |document| document.table.version.0)
     }
 
-    /// What requests are held to.
+    /// Returns the snapshot of suspect requests.
     #[must_use]
     pub fn screen(&self) -> Arc<Screen> {
         Arc::clone(&self.latest.screen.borrow())
     }
 
-    /// Whether a stop was asked for.
+    /// Returns whether a stop has been requested.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         *self.latest.stage.borrow() != Stage::Serving
     }
 
-    /// Whether callers may send requests here: a routing table is known if one is needed,
-    /// and no stop was asked for.
+    /// Returns whether callers may send requests to this node: any required routing table is known,
+    /// and no stop has been requested.
     #[must_use]
     pub fn accepts_callers(&self) -> bool {
         let configured =
@@ -194,65 +194,65 @@
         configured && !self.is_stopping()
     }
 
-    /// Phase of the callers' listener.
+    /// Returns the phase of the listener for callers.
     #[must_use]
     pub fn callers_phase(&self) -> watch::Receiver<Phase> {
-        self.phase(|stage| match stage {
+        self.map_stage(|stage| match stage {
             Stage::Serving => Phase::Open,
             Stage::Leaving => Phase::Leaving,
             Stage::ClosingCallers { give_up_at } | Stage::ClosingPeers { give_up_at } => {
                 Phase::Closing { give_up_at }
             }
-            Stage::Ending => at_once(),
+            Stage::Ending => close_immediately(),
         })
     }
 
-    /// Phase of the peers' listener, which outlives that of callers.
+    /// Returns the phase of the listener for peers, which stays open longer than that for callers.
     #[must_use]
     pub fn peers_phase(&self) -> watch::Receiver<Phase> {
-        self.phase(|stage| match stage {
+        self.map_stage(|stage| match stage {
             Stage::ClosingPeers { give_up_at } => Phase::Closing { give_up_at },
-            Stage::Ending => at_once(),
+            Stage::Ending => close_immediately(),
             Stage::Serving | Stage::Leaving | Stage::ClosingCallers { .. } => Phase::Open,
         })
     }
 
-    /// Phase of the listeners that last until the end.
+    /// Returns the phase of the listeners that stay open until the node ends.
     #[must_use]
     pub fn control_phase(&self) -> watch::Receiver<Phase> {
-        self.phase(|stage| match stage {
-            Stage::Ending => at_once(),
+        self.map_stage(|stage| match stage {
+            Stage::Ending => close_immediately(),
             _ => Phase::Open,
         })
     }
 
-    /// Follows the stage in a task of the caller's thread.
-    fn phase(&self, of: fn(Stage) -> Phase) -> watch::Receiver<Phase> {
+    /// Maps the stage to a listener phase in a task spawned on the current thread's runtime.
+    fn map_stage(&self, to_phase: fn(Stage) -> Phase) -> watch::Receiver<Phase> {
         let mut stage = self.latest.stage.subscribe();
-        let first = of(*stage.borrow_and_update());
+        let first = to_phase(*stage.borrow_and_update());
         let (sender, receiver) = watch::channel(first);
         tokio::spawn(async move {
             while stage.changed().await.is_ok() {
-                let phase = of(*stage.borrow_and_update());
+                let phase = to_phase(*stage.borrow_and_update());
                 sender.send_if_modified(|current| {
                     let changed = *current != phase;
                     *current = phase;
                     changed
                 });
             }
-            sender.send_replace(at_once());
+            sender.send_replace(close_immediately());
         });
         receiver
     }
 }
 
-fn at_once() -> Phase {
+fn close_immediately() -> Phase {
     Phase::Closing {
         give_up_at: Instant::now(),
     }
 }
 
-/// Milliseconds since the Unix epoch; zero if the clock is set before it.
+/// Returns the milliseconds since the Unix epoch, or 0 if the clock is set before it.
 #[must_use]
 pub fn unix_millis() -> u64 {
     SystemTime::now()
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Counters of a node, in the Prometheus text format. Label sets are bounded: they take
-//! values of this program only, never a caller's.
+//! Metrics of a node in the Prometheus text format. Label sets are bounded: label values are
+//! constants of this program and never come from callers.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 
 use crate::context::Guarded;
 
-/// Bounds of the latency histogram, in seconds.
+/// Bucket bounds of the latency histogram, in seconds.
 const LATENCY_BOUNDS: [f64; 12] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 5.0, 30.0,
 ];
@@ -34,29 +34,29 @@
     kind: &'static str,
 }
 
-/// What became of a settings file that was read again.
+/// Outcome of reading the settings file again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reload {
-    /// It differed and was taken.
-    Taken,
-    /// It did not pass the checks.
+    /// The settings differed and were applied.
+    Applied,
+    /// The file is invalid.
     Rejected,
-    /// It says what is in force.
+    /// The settings equal those in force.
     Unchanged,
 }
 
-/// All counters of one node.
+/// All metrics of one node.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
     requests: Counter,
-    seconds: Histogram,
+    request_seconds: Histogram,
     refusals: Family<RefusalLabels, Counter>,
     guard_refusals: Family<RefusalLabels, Counter>,
     retries: Counter,
     upstream_ends: Counter,
     suspects: Gauge,
-    held: Gauge,
+    quarantined: Gauge,
     pace_asked: Counter,
     reloads: Family<KindLabels, Counter>,
     store_returns: Counter,
@@ -85,13 +85,13 @@
         let mut metrics = Self {
             registry: Registry::with_prefix("mintridge"),
             requests: Counter::default(),
-            seconds: Histogram::new(LATENCY_BOUNDS),
+            request_seconds: Histogram::new(LATENCY_BOUNDS),
             refusals: Family::default(),
             guard_refusals: Family::default(),
             retries: Counter::default(),
             upstream_ends: Counter::default(),
             suspects: Gauge::default(),
-            held: Gauge::default(),
+            quarantined: Gauge::default(),
             pace_asked: Counter::default(),
             reloads: Family::default(),
             store_returns: Counter::default(),
@@ -128,7 +128,7 @@
             self.requests.clone(),
         );
         let help = "Time until the answer to a caller began";
-        registry.register("request_seconds", help, self.seconds.clone());
+        registry.register("request_seconds", help, self.request_seconds.clone());
         let help = "Refusals given to callers";
         registry.register("refusals", help, self.refusals.clone());
         let help = "Refusals given to peers by the guard of this upstream";
@@ -139,7 +139,7 @@
         let help = "Requests known under which upstreams ended";
         registry.register("suspects", help, self.suspects.clone());
         let help = "Requests held back because upstreams ended under them";
-        registry.register("held_back", help, self.held.clone());
+        registry.register("held_back", help, self.quarantined.clone());
         let help = "Availability zones whose upstreams get nothing new";
         registry.register("evacuated_zones", help, self.evacuated_zones.clone());
         registry.register("reloads", "Settings files read again", self.reloads.clone());
@@ -189,61 +189,65 @@
         registry.register("reads_store", help, self.reads_store.clone());
     }
 
-    /// A caller got the head of its answer.
+    /// Counts a request whose response head was sent to the caller, and records its latency unless
+    /// it was refused.
     pub fn answered(&self, took: Duration, response: &Response<Body>) {
         self.requests.inc();
         if !response.headers().contains_key(problem::OUTCOME) {
-            self.seconds.observe(took.as_secs_f64());
+            self.request_seconds.observe(took.as_secs_f64());
         }
     }
 
-    /// A caller was refused.
+    /// Counts a refusal sent to a caller.
     pub fn refusal(&self, refusal: &Refusal) {
         self.refusals.get_or_create(&labels(refusal)).inc();
     }
 
-    /// A peer was refused by the guard.
+    /// Counts a refusal that the guard sent to a peer.
     pub fn guard_refusal(&self, refusal: &Refusal) {
         self.guard_refusals.get_or_create(&labels(refusal)).inc();
     }
 
-    /// A second attempt is made.
+    /// Counts a retry.
     pub fn retry(&self) {
         self.retries.inc();
     }
 
-    /// The upstream ended, unplanned, with requests in progress.
+    /// Counts a crash of the upstream with requests in progress.
     pub fn upstream_ended(&self) {
         self.upstream_ends.inc();
     }
 
-    /// So many requests are known under which upstreams ended, and so many of them held back.
-    pub fn suspects(&self, known: usize, held: usize) {
-        self.suspects.set(i64::try_from(known).unwrap_or(i64::MAX));
-        self.held.set(i64::try_from(held).unwrap_or(i64::MAX));
+    /// Sets the number of requests suspected of crashing upstreams, and how many of them are in
+    /// quarantine.
+    pub fn suspects(&self, suspects: usize, quarantined: usize) {
+        self.suspects
+            .set(i64::try_from(suspects).unwrap_or(i64::MAX));
+        self.quarantined
+            .set(i64::try_from(quarantined).unwrap_or(i64::MAX));
     }
 
-    /// A settings file was read again.
+    /// Counts a reload of the settings file by its outcome.
     pub fn reload(&self, reload: Reload) {
         let kind = match reload {
-            Reload::Taken => "taken",
+            Reload::Applied => "taken",
             Reload::Rejected => "rejected",
             Reload::Unchanged => "unchanged",
         };
         self.reloads.get_or_create(&KindLabels { kind }).inc();
     }
 
-    /// The store came back from an older copy.
+    /// Counts a restore of the store from an older copy.
     pub fn store_return(&self) {
         self.store_returns.inc();
     }
 
-    /// The upstream was asked how fast its host is.
+    /// Counts a request that asks the upstream for the speed of its host.
     pub fn pace_asked(&self) {
         self.pace_asked.inc();
     }
 
-    /// A claim was answered.
+    /// Counts a claim on an idempotency key by its verdict.
     pub fn claim(&self, verdict: ClaimVerdict) {
         let kind = match verdict {
             ClaimVerdict::Granted => "granted",
@@ -254,12 +258,12 @@
         count(&self.claims, kind);
     }
 
-    /// A call to the store.
+    /// Counts a call to the store by its kind.
     pub fn store_call(&self, kind: &'static str) {
         count(&self.store_calls, kind);
     }
 
-    /// A probe came back.
+    /// Counts a finished probe of the upstream by its verdict.
     pub fn probe(&self, verdict: Verdict) {
         let kind = match verdict {
             Verdict::Answered => "answered",
@@ -268,29 +272,30 @@
         count(&self.probes, kind);
     }
 
-    /// A ring was full and a message refused.
+    /// Counts a message that was rejected because a queue was full.
     pub fn ring_full(&self, ring: &'static str) {
         count(&self.rings_full, ring);
     }
 
-    /// Malformed input was refused.
+    /// Counts malformed input by its kind.
     pub fn bad_input(&self, kind: &'static str) {
         count(&self.bad_input, kind);
     }
 
-    /// An exchange ended.
+    /// Counts a finished exchange with a peer and the bytes of its messages in both directions.
     pub fn exchange(&self, kind: &'static str, bytes: u64) {
         count(&self.exchanges, kind);
         self.exchange_bytes.inc_by(bytes);
     }
 
-    /// A message beside requests was sent to a peer.
+    /// Counts the bytes of a control message sent to a peer, that is of any message other than a
+    /// request.
     pub fn control_sent(&self, kind: &'static str, bytes: u64) {
         let labels = KindLabels { kind };
         self.control_bytes.get_or_create(&labels).inc_by(bytes);
     }
 
-    /// State of the guarded upstream.
+    /// Sets the metrics of the guarded upstream.
     pub fn guarded(&self, guarded: &Guarded) {
         self.in_flight.set(guarded.load.in_flight.into());
         self.queued.set(guarded.load.queued.into());
@@ -299,39 +304,39 @@
             .set(i64::try_from(guarded.probe_micros).unwrap_or(i64::MAX));
     }
 
-    /// Members and preset as known here.
+    /// Sets the number of members and the revision of the preset in force on this node.
     pub fn view(&self, members: usize, revision: u64) {
         self.members.set(i64::try_from(members).unwrap_or(i64::MAX));
         self.revision
             .set(i64::try_from(revision).unwrap_or(i64::MAX));
     }
 
-    /// The routing table in force here has this version.
+    /// Sets the version of the routing table in force on this node.
     pub fn routes_version(&self, version: u64) {
         self.routes_version
             .set(i64::try_from(version).unwrap_or(i64::MAX));
     }
 
-    /// Whether this node follows documents in the store itself.
+    /// Sets whether this node reads documents from the store itself.
     pub fn reads_store(&self, reads: bool) {
         self.reads_store.set(i64::from(reads));
     }
 
-    /// So many availability zones are evacuated.
+    /// Sets the number of evacuated availability zones.
     pub fn evacuated_zones(&self, zones: usize) {
         self.evacuated_zones
             .set(i64::try_from(zones).unwrap_or(i64::MAX));
     }
 
-    /// So many links to peers are open.
+    /// Sets the number of open links to peers.
     pub fn links(&self, open: usize) {
         self.links.set(i64::try_from(open).unwrap_or(i64::MAX));
     }
 
-    /// All counters in the text format.
+    /// Returns all metrics in the Prometheus text format.
     ///
     /// # Errors
-    /// If the text cannot be written.
+    /// If the metrics cannot be encoded.
     pub fn text(&self) -> Result<String, std::fmt::Error> {
         let mut text = String::new();
         encode(&mut text, &self.registry)?;
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,8 +1,8 @@
-//! Settings read again while the node runs: on a hangup, and when the file has changed.
+//! Reloads the settings file while the node runs, on SIGHUP and when the file has changed.
 //!
-//! What decides about requests changes at once: the sections of [`LIVE`]. Everything else,
-//! addresses and threads among them, is as it was at the start until the next one. A file that
-//! does not pass the checks changes nothing, and the log names the value.
+//! The sections in [`LIVE_SECTIONS`], which affect how requests are handled, take effect
+//! immediately. All others, such as addresses and threads, take effect at the next start. An
+//! invalid file changes nothing, and the log names the invalid value.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -16,38 +16,38 @@
 use crate::metrics::Reload;
 use crate::settings::{self, Settings};
 
-/// Sections that change while the node runs; of the logs, all but the level.
-pub const LIVE: [&str; 4] = ["admission", "logs", "placement", "retry"];
-/// How often the file is read without a signal: a change takes effect within seconds, and
-/// reading a page from memory costs nothing beside.
-const READ_EVERY: Duration = Duration::from_secs(5);
+/// Sections that take effect while the node runs, except `logs.level`.
+pub const LIVE_SECTIONS: [&str; 4] = ["admission", "logs", "placement", "retry"];
+/// Interval at which the file is read without a signal. A change takes effect within seconds, and
+/// the cost is negligible because the file is in the page cache.
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What a changed file changes.
+/// Sections that differ between two versions of the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Changed {
-    /// Sections that change now.
+pub struct Changes {
+    /// Sections that take effect immediately.
     pub now: BTreeSet<String>,
-    /// Sections that change at the next start.
+    /// Sections that take effect at the next start.
     pub at_next_start: BTreeSet<String>,
 }
 
-impl Changed {
-    /// Sections that differ.
+impl Changes {
+    /// Compares two versions of the settings.
     #[must_use]
     pub fn between(old: &Settings, new: &Settings) -> Self {
         let (old, new) = (sections(old), sections(new));
-        let mut changed = Self::default();
+        let mut changes = Self::default();
         for (section, value) in &new {
             if old.get(section) == Some(value) {
                 continue;
             }
-            if LIVE.contains(&section.as_str()) {
-                changed.now.insert(section.clone());
+            if LIVE_SECTIONS.contains(&section.as_str()) {
+                changes.now.insert(section.clone());
             } else {
-                changed.at_next_start.insert(section.clone());
+                changes.at_next_start.insert(section.clone());
             }
         }
-        changed
+        changes
     }
 
     fn is_empty(&self) -> bool {
@@ -62,36 +62,36 @@
     }
 }
 
-/// Follows the file until the node ends.
+/// Reloads the file on SIGHUP and on changes until the node ends.
 pub async fn run(context: Arc<Context>, path: PathBuf, mut hangup: Signal) {
     let mut rejected = None;
     loop {
         tokio::select! {
-            told = hangup.recv() => {
-                if told.is_none() {
+            received = hangup.recv() => {
+                if received.is_none() {
                     return;
                 }
                 rejected = None;
-                log::info!(path:% = path.display(); "told to reload");
-                if !read(&context, &path, &mut rejected) {
+                log::info!(path:% = path.display(); "SIGHUP received; reloading settings");
+                if !poll_file(&context, &path, &mut rejected) {
                     context.metrics.reload(Reload::Unchanged);
                     log::info!("settings are unchanged");
                 }
             }
-            () = tokio::time::sleep(READ_EVERY) => {
-                read(&context, &path, &mut rejected);
+            () = tokio::time::sleep(POLL_INTERVAL) => {
+                poll_file(&context, &path, &mut rejected);
             }
         }
     }
 }
 
-/// Reads the file once; true if it was taken or rejected. A file that was rejected is not
-/// complained of again until it changes or a signal comes.
-fn read(context: &Context, path: &Path, rejected: &mut Option<String>) -> bool {
+/// Reads the file once and returns whether new settings were applied or rejected. As long as the
+/// problem stays the same, a rejection is logged once, and again after a signal.
+fn poll_file(context: &Context, path: &Path, rejected: &mut Option<String>) -> bool {
     match settings::load(path) {
         Ok(new) => {
             *rejected = None;
-            take(context, new)
+            apply(context, new)
         }
         Err(error) => {
             let problem = error.current_context().to_string();
@@ -99,22 +99,22 @@
                 return true;
             }
             context.metrics.reload(Reload::Rejected);
-            log::error!(problem = &*problem; "settings rejected, those in force stay");
+            log::error!(problem = &*problem; "settings rejected; keeping the current ones");
             *rejected = Some(problem);
             true
         }
     }
 }
 
-fn take(context: &Context, new: Settings) -> bool {
-    let changed = Changed::between(&context.live(), &new);
-    if changed.is_empty() {
+fn apply(context: &Context, new: Settings) -> bool {
+    let changes = Changes::between(&context.live(), &new);
+    if changes.is_empty() {
         return false;
     }
-    context.metrics.reload(Reload::Taken);
+    context.metrics.reload(Reload::Applied);
     log::info!(
-        now:? = changed.now,
-        at_next_start:? = changed.at_next_start;
+        now:? = changes.now,
+        at_next_start:? = changes.at_next_start;
         "settings reloaded"
     );
     context.latest.settings.send_replace(Arc::new(new));
--- a/crates/node/tests/reload.rs
+++ b/crates/node/tests/reload.rs
@@ -1,18 +1,18 @@
-//! Settings read again while the node runs.
+//! Reloading the settings file while the node runs.
 
 mod common;
 
 use std::time::{Duration, Instant};
 
 use common::{Scene, get, hosts, processes};
-use mintridge_node::reload::Changed;
+use mintridge_node::reload::Changes;
 use mintridge_node::settings::Settings;
 use rstest::rstest;
 use rustix::process::Signal;
 
-const WAIT_MOST: Duration = Duration::from_secs(30);
+const COUNTER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Writes the settings of the first node anew, with one piece of text replaced.
+/// Rewrites the settings file of the first node with `old` replaced by `new`.
 fn rewrite(scene: &Scene, old: &str, new: &str) {
     let process = scene.process(0);
     let text = process.settings().expect("it is there");
@@ -22,67 +22,67 @@
         .expect("it is written");
 }
 
-fn hang_up(scene: &Scene) {
+fn send_sighup(scene: &Scene) {
     scene.process(0).signal(Signal::HUP).expect("it runs");
 }
 
-async fn until_counted(scene: &Scene, kind: &str) {
+async fn wait_for_reload(scene: &Scene, kind: &str) {
     let counter = format!("mintridge_reloads_total{{kind=\"{kind}\"}}");
-    let give_up_at = Instant::now() + WAIT_MOST;
+    let give_up_at = Instant::now() + COUNTER_TIMEOUT;
     while scene.counter(0, &counter).await < 1.0 {
         assert!(Instant::now() < give_up_at, "never counted: {kind}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// An operator changes the settings and hangs up, or forgets to: the node takes them all the
-/// same, goes on with its requests, and the callers see nothing of it.
+/// An operator changes the settings with or without sending SIGHUP: the node applies the change in
+/// both cases and keeps serving callers.
 #[rstest]
 #[case::with_a_signal(true)]
 #[case::without_a_signal(false)]
 #[tokio::test]
-async fn changed_settings_are_taken(#[case] signalled: bool) {
+async fn changed_settings_are_applied(#[case] signalled: bool) {
     let scene = processes(hosts(2)).await;
     rewrite(&scene, "\"placements\":3", "\"placements\":2");
     if signalled {
-        hang_up(&scene);
+        send_sighup(&scene);
     }
-    until_counted(&scene, "taken").await;
+    wait_for_reload(&scene, "taken").await;
     assert!(scene.call(0, &get("after")).await.is_success());
 }
 
-/// An operator mistypes a value: the node names it, keeps what is in force, and goes on; the
-/// corrected file is taken.
+/// An operator enters an invalid value: the node rejects the file, keeps the settings in force and
+/// keeps serving callers. The corrected file is applied.
 #[tokio::test]
-async fn wrong_settings_change_nothing() {
+async fn invalid_settings_are_rejected() {
     let scene = processes(hosts(2)).await;
     rewrite(&scene, "\"slots_share\":1.0", "\"slots_share\":7.0");
-    hang_up(&scene);
-    until_counted(&scene, "rejected").await;
+    send_sighup(&scene);
+    wait_for_reload(&scene, "rejected").await;
     assert!(scene.call(0, &get("meanwhile")).await.is_success());
     rewrite(&scene, "\"slots_share\":7.0", "\"slots_share\":0.9");
-    hang_up(&scene);
-    until_counted(&scene, "taken").await;
+    send_sighup(&scene);
+    wait_for_reload(&scene, "taken").await;
     assert!(scene.call(0, &get("after")).await.is_success());
 }
 
-/// A hangup without a change: nothing happens, and the node says so.
+/// A SIGHUP without a change to the file only counts as an unchanged reload.
 #[tokio::test]
-async fn unchanged_settings_stay() {
+async fn unchanged_settings_are_counted() {
     let scene = processes(hosts(2)).await;
-    hang_up(&scene);
-    until_counted(&scene, "unchanged").await;
+    send_sighup(&scene);
+    wait_for_reload(&scene, "unchanged").await;
     assert!(scene.call(0, &get("after")).await.is_success());
 }
 
 #[test]
-fn between_tells_what_changes_now_and_what_later() {
+fn between_separates_live_sections_from_others() {
     let old = Settings::default();
     let mut new = old.clone();
-    assert_eq!(Changed::between(&old, &new), Changed::default());
+    assert_eq!(Changes::between(&old, &new), Changes::default());
     new.retry.placements += 1;
     new.store.timeout *= 2;
-    let changed = Changed::between(&old, &new);
-    assert_eq!(changed.now, [String::from("retry")].into());
-    assert_eq!(changed.at_next_start, [String::from("store")].into());
+    let changes = Changes::between(&old, &new);
+    assert_eq!(changes.now, [String::from("retry")].into());
+    assert_eq!(changes.at_next_start, [String::from("store")].into());
 }
