--- a/crates/node/src/adapter.rs
+++ b/crates/node/src/adapter.rs
@@ -1,7 +1,7 @@
-//! How the node's surroundings speak: plain functions, chosen once at the start.
+//! Functions that translate between the node and its platform, selected once at startup.
 //!
-//! The default is mintridge's own interface. A deployment on a platform with another one
-//! brings its own functions; they translate and decide nothing.
+//! The default implements mintridge's own interface. A deployment on a platform with a different
+//! interface provides its own functions, which only translate and make no decisions.
 
 use std::time::Duration;
 
@@ -14,32 +14,32 @@
 
 use crate::announcement::{self, Heard, Incoming};
 
-/// Input that does not have the form agreed on.
+/// Input that does not conform to the interface of the platform.
 #[derive(Debug, thiserror::Error)]
 pub enum Malformed {
-    /// The body does not parse.
+    /// The body cannot be parsed.
     #[error("does not parse: {0}")]
     Body(#[from] serde_json::Error),
-    /// The call is none of those that are taken.
+    /// The method or path is not one that the node supports.
     #[error("no such call")]
     Call,
 }
 
-/// The functions by which the node understands its surroundings.
+/// Functions that translate between the node and its platform.
 #[derive(Clone, Copy, Debug)]
 pub struct Adapter {
-    /// How the store is spoken to.
+    /// Protocol of the store.
     pub store: Dialect,
-    /// Reads what an upstream tells the node beside it.
+    /// Parses a message that an upstream sends to the node beside it.
     pub heard: fn(&Incoming<'_>) -> Result<Heard, Malformed>,
-    /// The answer to a message of the upstream that was taken.
+    /// Creates the response to an accepted message of the upstream.
     pub acknowledge: fn() -> Response<Body>,
-    /// Reads the routing table that operators keep in the store; what of single routes cannot
-    /// be read is told in the table.
+    /// Parses the routing table that operators maintain in the store; the returned table reports
+    /// the parts of single routes that cannot be parsed.
     pub routes: fn(&[u8]) -> Result<Table, Malformed>,
-    /// Reads the load that an upstream adds to its answers; `None` if it does not parse.
+    /// Parses the load that an upstream adds to its responses; `None` if it cannot be parsed.
     pub load: fn(&str) -> Option<UpstreamLoad>,
-    /// Reads how much longer an upstream stays cold; `None` if it does not parse.
+    /// Parses the remaining time for which an upstream stays cold; `None` if it cannot be parsed.
     pub cold: fn(&str) -> Option<Duration>,
 }
 
@@ -50,8 +50,8 @@
             heard: announcement::read,
             acknowledge: announcement::acknowledge,
             routes: |document| Ok(serde_json::from_slice(document)?),
-            load: |written| serde_json::from_str(written).ok(),
-            cold: |written| written.parse().ok().map(Duration::from_millis),
+            load: |value| serde_json::from_str(value).ok(),
+            cold: |value| value.parse().ok().map(Duration::from_millis),
         }
     }
 }
--- a/crates/node/src/duties.rs
+++ b/crates/node/src/duties.rs
@@ -1,8 +1,8 @@
-//! The threads of a node, listed in one place.
+//! Starts the threads of a node, called duties.
 //!
-//! A new duty touches its own file, its settings in `configs/`, and this list. Each runs
-//! on a thread of its own with its own single-threaded runtime; they are joined by the
-//! bounded rings and latest values of [`crate::context`].
+//! Each duty runs on its own thread with its own single-threaded runtime. Duties communicate
+//! through the bounded queues and the watch channels of [`crate::context`]. Adding a duty requires
+//! its own module, its settings in `configs/` and an entry in this list.
 
 use std::io;
 use std::sync::Arc;
@@ -18,45 +18,45 @@
 use crate::context::Context;
 use crate::{announcement, claims, control, entry, guard, operators};
 
-/// A socket that listens before its duty's thread starts.
+/// Listening socket, opened before the thread of its duty starts.
 pub type Socket = std::net::TcpListener;
 
-/// What only one duty may have.
+/// Resources that are each owned by a single duty.
 #[derive(Debug)]
 pub struct Inputs {
-    /// For the entry.
+    /// Listener of the entry.
     pub callers: Socket,
-    /// For the guard.
+    /// Listener of the guard.
     pub peers: Socket,
-    /// For control.
+    /// Listener of control.
     pub control: Socket,
-    /// For announcements.
+    /// Listener for announcements.
     pub announcements: Socket,
-    /// For operators.
+    /// Listener for operators.
     pub operators: Socket,
-    /// For operators as well, at a fixed address.
+    /// Additional listener for operators, at a fixed address.
     pub metrics: Option<Socket>,
-    /// Receiving end of the ring to the guard.
+    /// Receiver of the queue to the guard.
     pub announced: mpsc::Receiver<Heard>,
-    /// Receiving end of the ring to the claims thread.
+    /// Receiver of the queue to the claims thread.
     pub jobs: mpsc::Receiver<Job>,
-    /// Receiving end of the ring to control.
+    /// Receiver of the queue to control.
     pub suspicions: mpsc::Receiver<Event>,
 }
 
 /// A running duty.
 #[derive(Debug)]
 pub struct Duty {
-    /// Its name, also that of its thread.
+    /// Name of the duty and of its thread.
     pub name: &'static str,
-    /// Its thread.
+    /// Thread of the duty.
     pub thread: JoinHandle<()>,
 }
 
-/// Starts every duty.
+/// Starts all duties.
 ///
 /// # Errors
-/// If a thread or its runtime cannot be made.
+/// If a thread or its runtime cannot be created.
 pub fn start(context: &Arc<Context>, inputs: Inputs) -> io::Result<Vec<Duty>> {
     let Inputs {
         callers,
@@ -117,7 +117,7 @@
         .name(name.to_owned())
         .spawn(move || {
             if let Err(error) = runtime.block_on(work(context)) {
-                log::error!(duty = name, error:% = error; "duty ended");
+                log::error!(duty = name, error:% = error; "duty failed");
             }
         })?;
     Ok(Duty { name, thread })
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -1,7 +1,7 @@
-//! Structured logs: one JSON object a line, on standard output.
+//! Structured logs: one JSON object per line on standard output.
 //!
-//! Lines pass to a thread of their own through a bounded queue; when nobody reads them fast
-//! enough, new ones are dropped, and nothing that serves requests waits.
+//! A separate thread writes the lines from a bounded queue. If the output is not consumed fast
+//! enough, new lines are dropped, so that threads that serve requests never block on logging.
 
 use logforth::append::Stdout;
 use logforth::append::asynchronous::AsyncBuilder;
@@ -11,39 +11,40 @@
 
 use crate::configs::logs::Settings;
 
-/// Lines on their way to the output; about a second of them when all requests fail.
-const LINES_MOST: usize = 1024;
+/// Capacity of the queue of log lines; holds about one second of lines when all requests fail.
+const MAX_QUEUED_LINES: usize = 1024;
 
-/// Starts logging under the name of the host; a second call in the same process changes
-/// nothing.
+/// Starts logging with the name of the host on every line; a second call in the same process has
+/// no effect.
 ///
-/// A level that does not parse gives a warning and the default.
+/// An invalid level is logged as a warning, and `info` is used instead.
 pub fn start(settings: &Settings, host: &str) {
     let parsed = RustLogFilterBuilder::try_from_spec(settings.level.as_str());
-    let wrong = parsed.is_err();
+    let is_invalid = parsed.is_err();
     let default = || RustLogFilterBuilder::from_spec("info");
     let filter = parsed.unwrap_or_else(|_| default()).build();
     let output = Stdout::default().with_layout(JsonLayout::default());
     let append = AsyncBuilder::new("logs")
-        .buffered_lines_limit(Some(LINES_MOST))
+        .buffered_lines_limit(Some(MAX_QUEUED_LINES))
         .overflow_drop_incoming()
         .append(output)
         .build();
-    let mut names = StaticDiagnostic::default();
-    names.insert("host", host);
+    let mut labels = StaticDiagnostic::default();
+    labels.insert("host", host);
     let started = logforth::starter_log::builder()
-        .dispatch(|dispatch| dispatch.filter(filter).diagnostic(names).append(append))
+        .dispatch(|dispatch| dispatch.filter(filter).diagnostic(labels).append(append))
         .try_apply();
     if started.is_ok() {
-        log::set_max_level(coarsest(&settings.level));
+        log::set_max_level(max_level(&settings.level));
     }
-    if started.is_ok() && wrong {
-        log::warn!(level = &*settings.level; "logs.level does not parse, using info");
+    if started.is_ok() && is_invalid {
+        log::warn!(level = &*settings.level; "logs.level is invalid; using info");
     }
 }
 
-/// Spares the filter the records that no directive lets through.
-fn coarsest(level: &str) -> log::LevelFilter {
+/// Returns the most verbose level of any directive, so that records which no directive accepts are
+/// discarded before they reach the filter.
+fn max_level(level: &str) -> log::LevelFilter {
     level
         .split(',')
         .map(|directive| {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! A node's life: start, planned stop, end.
+//! Life cycle of a node: start, graceful stop and immediate shutdown.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,21 +18,21 @@
 use crate::settings::Settings;
 use crate::traces;
 
-/// How often a stop looks whether a duty has ended.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
-/// How long peers' requests are still answered, with a refusal, after peers are told that
-/// nothing new is taken: news reaches all peers within a few exchanges that follow at once.
-const PEERS_LEARN_WITHIN: Duration = Duration::from_millis(300);
+/// Interval at which a graceful stop checks whether a duty has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Minimum time for which requests from peers still get a refusal after the node has announced that
+/// it accepts no new ones. The update reaches all peers within a few immediate gossip exchanges.
+const PEER_UPDATE_DELAY: Duration = Duration::from_millis(300);
 
 /// Why a node did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An address cannot be listened on.
+    /// The node cannot listen on an address.
     #[error("cannot listen on {address} for {purpose}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What it is for.
+        /// What the listener is for.
         purpose: &'static str,
     },
     /// A thread cannot be started.
@@ -47,10 +47,10 @@
     duties: Vec<Duty>,
 }
 
-/// Starts a node; it listens when this returns.
+/// Starts a node; all its listeners are open when this returns.
 ///
 /// # Errors
-/// If an address cannot be listened on or a thread not started.
+/// If the node cannot listen on an address or start a thread.
 pub fn start(settings: Settings, adapter: Adapter) -> Result<Node, Report<Error>> {
     let listeners = &settings.listeners;
     let listen = |address, purpose| listen(address, purpose, listeners.backlog);
@@ -133,11 +133,11 @@
     }
 }
 
-/// Opens a listening socket.
+/// Opens a listening socket with the given backlog.
 ///
 /// Failure: many callers connect within a few milliseconds while the thread is busy.
-/// Symptom: with the standard library's queue of 128 the system drops opening packets, and
-/// those callers wait a second for the next one. The queue is as long as the settings say.
+/// Symptom: with the standard library's backlog of 128 the kernel drops SYN packets, and those
+/// callers wait a second for the retransmission. The backlog is therefore configurable.
 fn listen(
     address: SocketAddr,
     purpose: &'static str,
@@ -157,38 +157,38 @@
 }
 
 impl Node {
-    /// What the duties share.
+    /// State shared by the duties.
     #[must_use]
     pub const fn context(&self) -> &Arc<Context> {
         &self.context
     }
 
-    /// Stops as planned: no request in progress is cut within the time allowed.
+    /// Stops gracefully: no request in progress is aborted before `node.stop_within` has passed.
     ///
-    /// 1. Callers are still served while they learn that they should go elsewhere, and the
-    ///    upstream still gets new requests: an upstream whose node restarts is missing for as
-    ///    long as nothing passes to it, and others carry its load.
-    /// 2. Nothing new is let through to the upstream and peers are told; callers' listener
-    ///    closes when their requests in progress are finished.
-    /// 3. Peers' listener closes when theirs are.
-    /// 4. The node says goodbye.
+    /// 1. Callers are still served and are told to use another node. The upstream still gets new
+    ///    requests: while its node forwards none, its capacity is missing and other upstreams carry
+    ///    its load.
+    /// 2. The node stops forwarding new requests to the upstream and informs its peers. The
+    ///    listener for callers closes once their requests in progress are finished.
+    /// 3. The listener for peers closes once their requests in progress are finished.
+    /// 4. The node leaves the cluster and ends.
     pub fn stop(self) {
         let settings = &self.context.settings.node;
         let give_up_at = Instant::now() + settings.stop_within;
         log::info!("stopping");
-        self.set(Stage::Leaving);
+        self.set_stage(Stage::Leaving);
         thread::sleep(settings.linger);
-        self.set(Stage::ClosingCallers { give_up_at });
-        thread::sleep(PEERS_LEARN_WITHIN);
-        self.wait_for("entry");
-        self.set(Stage::ClosingPeers { give_up_at });
-        self.wait_for("guard");
+        self.set_stage(Stage::ClosingCallers { give_up_at });
+        thread::sleep(PEER_UPDATE_DELAY);
+        self.wait_for_duty("entry");
+        self.set_stage(Stage::ClosingPeers { give_up_at });
+        self.wait_for_duty("guard");
         self.end();
     }
 
-    /// Ends at once; requests in progress are cut.
+    /// Ends the node immediately; requests in progress are aborted.
     pub fn end(self) {
-        self.set(Stage::Ending);
+        self.set_stage(Stage::Ending);
         for duty in self.duties {
             if duty.thread.join().is_err() {
                 log::error!(duty = duty.name; "duty panicked");
@@ -197,16 +197,16 @@
         log::info!("ended");
     }
 
-    fn set(&self, stage: Stage) {
+    fn set_stage(&self, stage: Stage) {
         self.context.latest.stage.send_replace(stage);
     }
 
-    fn wait_for(&self, name: &str) {
+    fn wait_for_duty(&self, name: &str) {
         let Some(duty) = self.duties.iter().find(|duty| duty.name == name) else {
             return;
         };
         while !duty.thread.is_finished() {
-            thread::sleep(LOOK_EVERY);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 }
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -1,4 +1,4 @@
-//! What a node answers operators and their tools: health, metrics, state.
+//! HTTP endpoints for operators and their tools: health, metrics and state.
 
 use std::sync::Arc;
 
@@ -12,36 +12,36 @@
 use crate::context::{Context, Guarded, View};
 use crate::entry::Seen;
 
-/// Path that answers 200 while the process works.
+/// Path that returns 200 while the process responds.
 pub const HEALTH: &str = "/health";
-/// Path that answers 200 while the node lets requests through to its upstream.
+/// Path that returns 200 while the node forwards requests to its upstream.
 pub const READY: &str = "/ready";
-/// Path that answers 200 while callers may send requests to the node.
+/// Path that returns 200 while callers may send requests to the node.
 pub const ACCEPTING: &str = "/accepting";
-/// Path of the counters in the Prometheus text format.
+/// Path of the metrics in the Prometheus text format.
 pub const METRICS: &str = "/metrics";
-/// Path of the whole state, a [`Status`] in JSON.
+/// Path of the complete state, a [`Status`] in JSON.
 pub const STATE: &str = "/state";
 
-/// State of a node as it sees itself and the others.
+/// State of a node, and its view of the other nodes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// Name of its host.
+    /// Name of the node's host.
     pub host: Arc<str>,
-    /// Whether a stop was asked for.
+    /// Whether a stop has been requested.
     pub stopping: bool,
-    /// Members and preset.
+    /// Members, and the preset in force on this node.
     pub view: View,
-    /// Version of the routing table in force here; 0 while none is known.
+    /// Version of the routing table in force on this node; 0 if there is none yet.
     #[serde(default)]
     pub routes_version: u64,
-    /// The upstream beside it.
+    /// State of the upstream beside the node.
     pub guarded: Guarded,
-    /// The upstreams as its entry sees them.
+    /// Load of the upstreams as known to the node's entry.
     pub seen: Vec<Seen>,
 }
 
-/// Serves operators until the node ends.
+/// Serves the endpoints for operators until the node ends.
 pub async fn run(context: Arc<Context>, listener: TcpListener) {
     let phase = context.control_phase();
     let limits = server::Limits {
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -1,4 +1,4 @@
-//! What the process does around the node: arguments, settings, logs, signals.
+//! Process setup of a node: arguments, settings, logs and signals.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,14 +10,14 @@
 use crate::context::Context;
 use crate::{flags, logs, node, reload, settings};
 
-/// Exit code for wrong arguments or settings.
+/// Exit code for invalid settings.
 const EXIT_SETTINGS: u8 = 2;
-/// Exit code for a node that could not start.
+/// Exit code if the node failed to start.
 const EXIT_START: u8 = 3;
-/// Exit code after a second signal cut requests in progress.
-const EXIT_CUT: u8 = 4;
+/// Exit code if a second signal aborted the graceful stop.
+const EXIT_ABORTED: u8 = 4;
 
-/// Runs a node that understands its surroundings by this adapter, until it is stopped.
+/// Runs a node with this adapter until it is stopped.
 #[must_use]
 pub fn run(adapter: Adapter) -> ExitCode {
     let arguments = flags::MintridgeNode::from_env_or_exit();
@@ -34,7 +34,7 @@
     }
     logs::start(&settings.logs, &settings.host);
     match node::start(settings, adapter) {
-        Ok(node) => until_stopped(node, arguments.settings),
+        Ok(node) => run_until_stopped(node, arguments.settings),
         Err(error) => {
             eprintln!("{error:?}");
             ExitCode::from(EXIT_START)
@@ -42,8 +42,8 @@
     }
 }
 
-/// Waits for a signal and stops as planned; a second signal ends at once.
-fn until_stopped(node: node::Node, settings: PathBuf) -> ExitCode {
+/// Waits for SIGTERM or SIGINT and stops gracefully; a second signal exits immediately.
+fn run_until_stopped(node: node::Node, settings_path: PathBuf) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -59,25 +59,25 @@
         ) else {
             return ExitCode::from(EXIT_START);
         };
-        tokio::spawn(reload::run(Arc::clone(&context), settings, hangup));
-        next(&mut terminate, &mut interrupt).await;
+        tokio::spawn(reload::run(Arc::clone(&context), settings_path, hangup));
+        wait_for_signal(&mut terminate, &mut interrupt).await;
         let stopping = tokio::task::spawn_blocking(move || node.stop());
         tokio::select! {
             _ = stopping => ExitCode::SUCCESS,
-            () = next(&mut terminate, &mut interrupt) => cut(&context),
+            () = wait_for_signal(&mut terminate, &mut interrupt) => abort(&context),
         }
     })
 }
 
-async fn next(terminate: &mut Signal, interrupt: &mut Signal) {
+async fn wait_for_signal(terminate: &mut Signal, interrupt: &mut Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
 }
 
-/// Ends the process, telling what is lost.
-fn cut(context: &Context) -> ! {
+/// Exits immediately after logging how many requests are lost.
+fn abort(context: &Context) -> ! {
     let load = context.latest.guarded.borrow().load;
     let outstanding: u32 = context
         .latest
@@ -90,7 +90,7 @@
         upstream_in_flight = load.in_flight,
         upstream_queued = load.queued,
         callers_in_progress = outstanding;
-        "ended by a second signal; these requests were cut"
+        "second signal received; aborting requests in progress"
     );
-    std::process::exit(i32::from(EXIT_CUT))
+    std::process::exit(i32::from(EXIT_ABORTED))
 }
--- a/crates/node/src/traces.rs
+++ b/crates/node/src/traces.rs
@@ -1,9 +1,9 @@
-//! Traces: a span for each hop, joined by W3C `traceparent`.
+//! Distributed tracing: one span per hop, linked by the W3C `traceparent` header.
 //!
-//! With the feature `traces` spans are recorded. Without it the same functions do nothing,
-//! and a `traceparent` of callers passes through unchanged: the library of spans compares
-//! two clocks before the program begins, which costs tens of milliseconds of processor time
-//! at each start, too much where a node has a fifth of a core.
+//! With the feature `traces`, spans are recorded. Without it the same functions do nothing, and the
+//! `traceparent` of a caller passes through unchanged. Tracing is optional because the tracing
+//! library compares two clocks before `main`, which costs tens of milliseconds of CPU time at each
+//! start; that is too much for a node limited to a fifth of a core.
 
 #[cfg(not(feature = "traces"))]
 mod absent;
--- a/crates/node/src/traces/absent.rs
+++ b/crates/node/src/traces/absent.rs
@@ -1,40 +1,40 @@
-//! Spans that are not recorded.
+//! No-op implementation for builds without the feature `traces`.
 
 use hyper::header::HeaderMap;
 
 use crate::context::Context;
 
-/// A span of nothing.
+/// Span that is not recorded.
 #[derive(Clone, Copy, Debug)]
 pub struct Span;
 
-/// Warns that the settings ask for what this program was built without.
+/// Warns that the settings enable tracing but this program was built without it.
 pub fn start() {
-    log::warn!("traces.sampled is set, but this program was built without traces");
+    log::warn!("traces.sampled is set, but this program was built without the feature traces");
 }
 
-/// Span of the first hop of this node.
+/// Returns a no-op span in place of the root span of this node.
 #[must_use]
 pub const fn root(_: &'static str, _: &Context, _: &HeaderMap) -> Span {
     Span
 }
 
-/// Span of a hop that continues a trace begun by another node.
+/// Returns a no-op span in place of a child of the span of another node.
 #[must_use]
 pub const fn child(_: &'static str, _: &Context, _: &HeaderMap) -> Span {
     Span
 }
 
-/// Span within the one in force.
+/// Returns a no-op span in place of a child of the current span.
 #[must_use]
 pub const fn hop(_: &'static str) -> Span {
     Span
 }
 
-/// Runs a future; nothing is recorded.
+/// Returns the future unchanged.
 pub fn within<F: Future>(_: Span, work: F) -> impl Future<Output = F::Output> + use<F> {
     work
 }
 
-/// Leaves the headers as they are.
+/// Leaves the headers unchanged.
 pub const fn inject(_: &mut HeaderMap) {}
--- a/crates/node/src/traces/recorded.rs
+++ b/crates/node/src/traces/recorded.rs
@@ -1,8 +1,7 @@
-//! Spans recorded by the fastrace library.
+//! Records spans with the `fastrace` library.
 //!
-//! They are exported to the log under the target `trace`, one record a span, from where a
-//! collector takes them. A `traceparent` from outside passes through unchanged while
-//! sampling is off.
+//! Spans are exported to the log under the target `trace`, one record per span, for a log collector
+//! to pick up. While sampling is off, a `traceparent` of a caller passes through unchanged.
 
 pub use fastrace::Span;
 use fastrace::collector::{Config, Reporter, SpanContext, SpanRecord};
@@ -11,7 +10,7 @@
 
 use crate::context::Context;
 
-/// Carries the trace from hop to hop.
+/// Header that carries the trace context from hop to hop.
 const TRACEPARENT: HeaderName = HeaderName::from_static("traceparent");
 
 /// Starts the export of spans.
@@ -19,7 +18,8 @@
     fastrace::set_reporter(Exporter, Config::default());
 }
 
-/// Span of the first hop of this node: continues the caller's trace or begins one.
+/// Returns the root span of this node: continues the caller's trace or starts a new one. If
+/// sampling is off, it records nothing.
 pub fn root(name: &'static str, context: &Context, headers: &HeaderMap) -> Span {
     if !context.settings.traces.sampled {
         return Span::noop();
@@ -29,7 +29,8 @@
     Span::root(name, parent).with_property(|| ("host", host))
 }
 
-/// Span of a hop that continues a trace begun by another node; none without one.
+/// Returns a span that continues the trace of another node; it records nothing if the headers carry
+/// no trace or sampling is off.
 pub fn child(name: &'static str, context: &Context, headers: &HeaderMap) -> Span {
     if parent(headers).is_none() {
         return Span::noop();
@@ -37,7 +38,7 @@
     root(name, context, headers)
 }
 
-/// Span within the one in force.
+/// Returns a child of the current span.
 pub fn hop(name: &'static str) -> Span {
     Span::enter_with_local_parent(name)
 }
@@ -47,7 +48,7 @@
     work.in_span(span)
 }
 
-/// Writes the span in force into the headers of a request to the next hop.
+/// Writes the current span into the headers of a request to the next hop.
 pub fn inject(headers: &mut HeaderMap) {
     let Some(current) = SpanContext::current_local_parent() else {
         return;
