--- a/crates/node/tests/configuration.rs
+++ b/crates/node/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! A change that the store has acknowledged is in force on every node in time, whichever nodes
-//! the store serves and whichever have just ended.
+//! A change that the store has acknowledged takes effect on every node in time, regardless of which
+//! nodes can reach the store and which have just failed.
 
 mod common;
 
@@ -14,20 +14,21 @@
 use rstest::rstest;
 use rustix::process::Signal;
 
-/// Hosts of the one availability zone.
-const ALL: [usize; 5] = [0, 1, 2, 3, 4];
-/// Time in which a change is in force everywhere.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(5);
-/// A node that hears its peers does not turn to the store for want of them.
-const NEVER: Duration = Duration::from_hours(1);
+/// Indices of all hosts; they share one availability zone.
+const ALL_HOSTS: [usize; 5] = [0, 1, 2, 3, 4];
+/// Time within which a change must take effect on every node.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longer than any test, so that a node that has contacted a peer never counts as isolated and
+/// therefore never reads the store for that reason.
+const ISOLATED_AFTER: Duration = Duration::from_hours(1);
 
-/// Hosts of one zone; each node reaches the store through a relay of its own.
-async fn relayed_stores() -> (Scene, Vec<Arc<Relay>>) {
+/// Starts the hosts of one zone; each node reaches the store through its own relay.
+async fn start_with_relays() -> (Scene, Vec<Arc<Relay>>) {
     let plan = Plan {
         services: vec![],
         adjust: |settings| {
             settings.routes.key = Some(String::from(ROUTES));
-            settings.control.isolated_after = NEVER;
+            settings.control.isolated_after = ISOLATED_AFTER;
             settings.control.watch_for = Duration::from_secs(12);
             settings.control.store_read_every = Duration::from_secs(30);
         },
@@ -35,7 +36,7 @@
     };
     let mut scene = processes(plan).await;
     let mut relays = Vec::new();
-    for index in ALL {
+    for index in ALL_HOSTS {
         let relay = Arc::new(Relay::default());
         let (listener, address) = loopback().await.expect("a free port");
         tokio::spawn(Arc::clone(&relay).run(listener, scene.store_address));
@@ -47,28 +48,28 @@
         added.await.expect("it starts");
     }
     scene.until_joined().await;
-    write(&scene, 1);
-    until_version(&scene, &ALL, 1).await;
+    write_version(&scene, 1);
+    wait_for_version(&scene, &ALL_HOSTS, 1).await;
     (scene, relays)
 }
 
-fn write(scene: &Scene, version: u64) {
+fn write_version(scene: &Scene, version: u64) {
     write_table(scene, &table(version, vec![route("/")]));
 }
 
-async fn until_version(scene: &Scene, of: &[usize], version: u64) {
+async fn wait_for_version(scene: &Scene, hosts: &[usize], version: u64) {
     scene
-        .until_of(of, "the version is in force", |status| {
+        .until_of(hosts, "the version is in force", |status| {
             status.routes_version == version
         })
         .await;
 }
 
-/// Nodes that read the store for the others, and the others.
+/// Returns the designated readers of the store, and the other nodes.
 async fn readers(scene: &Scene) -> (Vec<usize>, Vec<usize>) {
     let mut readers = Vec::new();
     let mut others = Vec::new();
-    for index in ALL {
+    for index in ALL_HOSTS {
         let status = scene.status(index).await.expect("it answers");
         let group = if status.view.holder {
             &mut readers
@@ -81,67 +82,70 @@
     (readers, others)
 }
 
-/// Writes a change, and checks that these nodes have it in force in time.
-async fn change_is_in_force_in_time(scene: &Scene, of: &[usize]) {
+/// Writes a change and checks that it takes effect on these nodes in time.
+async fn check_change_is_in_force_in_time(scene: &Scene, hosts: &[usize]) {
     let written_at = Instant::now();
-    write(scene, 2);
-    until_version(scene, of, 2).await;
+    write_version(scene, 2);
+    wait_for_version(scene, hosts, 2).await;
     let took = written_at.elapsed();
-    assert!(took < IN_FORCE_WITHIN, "{took:?}");
+    assert!(took < IN_FORCE_TIMEOUT, "{took:?}");
 }
 
-/// Guards against a zone whose regular readers the store turns away while it serves the others.
+/// Guards against a zone whose designated readers cannot reach the store while other nodes can.
 #[rstest]
 #[case::silently(Condition::Silent)]
 #[case::by_resets(Condition::Cut)]
 #[tokio::test]
-async fn change_is_in_force_though_all_readers_are_turned_away(#[case] condition: Condition) {
-    let (scene, relays) = relayed_stores().await;
+async fn change_is_in_force_when_no_reader_reaches_the_store(#[case] condition: Condition) {
+    let (scene, relays) = start_with_relays().await;
     let (readers, _) = readers(&scene).await;
     for reader in readers {
         relays[reader].set(condition);
     }
-    change_is_in_force_in_time(&scene, &ALL).await;
+    check_change_is_in_force_in_time(&scene, &ALL_HOSTS).await;
 }
 
-/// Guards against a zone whose regular readers all end at the moment of a change.
+/// Guards against a zone whose designated readers all stop responding just before a change. They
+/// are paused with SIGSTOP.
 #[tokio::test]
-async fn change_is_in_force_though_all_readers_have_just_ended() {
-    let (scene, _relays) = relayed_stores().await;
+async fn change_is_in_force_when_all_readers_have_just_stopped() {
+    let (scene, _relays) = start_with_relays().await;
     let (readers, others) = readers(&scene).await;
     for reader in readers {
         let stopped = scene.process(reader).signal(Signal::STOP);
         stopped.expect("it gets the signal");
     }
-    change_is_in_force_in_time(&scene, &others).await;
+    check_change_is_in_force_in_time(&scene, &others).await;
 }
 
-/// Guards against a change that waits for a watch whose connection has fallen silent for good.
+/// Guards against a change that is delayed by a watch whose open connection no longer delivers any
+/// data.
 #[tokio::test]
-async fn change_is_in_force_though_connections_to_the_store_fell_silent() {
-    let (scene, relays) = relayed_stores().await;
+async fn change_is_in_force_when_store_connections_go_silent() {
+    let (scene, relays) = start_with_relays().await;
     for relay in relays {
         relay.lose_open_connections();
     }
-    change_is_in_force_in_time(&scene, &ALL).await;
+    check_change_is_in_force_in_time(&scene, &ALL_HOSTS).await;
 }
 
-/// Columns of the system's table of connections: the other end, the state, the timer that runs.
-const PEER: usize = 2;
+/// Columns of `/proc/<pid>/net/tcp`: remote address, connection state and active timer.
+const REMOTE: usize = 2;
 const STATE: usize = 3;
 const TIMER: usize = 5;
 const ESTABLISHED: &str = "01";
-/// A timer that repeats what was not acknowledged yet.
-const RETRANSMIT: &str = "01:";
-/// A timer that probes an idle connection.
-const KEEP_ALIVE: &str = "02";
-/// Kernel ticks in which a watch that fell silent alone has to be probed first: a second.
-const PROBED_WITHIN_TICKS: u64 = 100;
+/// Prefix of the timer column while unacknowledged data awaits retransmission.
+const RETRANSMIT_TIMER: &str = "01:";
+/// Kind of the timer that sends keep-alive probes on an idle connection.
+const KEEP_ALIVE_TIMER: &str = "02";
+/// Kernel ticks until a silent watch must get its first keep-alive probe: one second.
+const MAX_PROBE_DELAY_TICKS: u64 = 100;
 
-/// Guards against a watch that falls silent alone, while checks on another connection are answered.
+/// Guards against a watch whose connection goes silent while checks on another connection succeed,
+/// so that only keep-alive probes can detect it.
 #[tokio::test]
-async fn watches_of_the_store_are_probed() {
-    let (scene, _relays) = relayed_stores().await;
+async fn store_watches_send_keep_alive_probes() {
+    let (scene, _relays) = start_with_relays().await;
     let (readers, _) = readers(&scene).await;
     for reader in readers {
         let process = scene.process(reader);
@@ -153,16 +157,16 @@
         let timers: Vec<&str> = table
             .lines()
             .map(|line| line.split_whitespace().collect::<Vec<_>>())
-            .filter(|columns| columns[PEER] == peer && columns[STATE] == ESTABLISHED)
+            .filter(|columns| columns[REMOTE] == peer && columns[STATE] == ESTABLISHED)
             .map(|columns| columns[TIMER])
-            .filter(|timer| !timer.starts_with(RETRANSMIT))
+            .filter(|timer| !timer.starts_with(RETRANSMIT_TIMER))
             .collect();
         assert!(!timers.is_empty(), "no connection to the store");
         for timer in timers {
             let (kind, due) = timer.split_once(':').expect("a timer");
             let due = u64::from_str_radix(due, 16).expect("ticks");
-            assert_eq!(kind, KEEP_ALIVE, "{timer}");
-            assert!(due <= PROBED_WITHIN_TICKS, "{timer}");
+            assert_eq!(kind, KEEP_ALIVE_TIMER, "{timer}");
+            assert!(due <= MAX_PROBE_DELAY_TICKS, "{timer}");
         }
     }
 }
--- a/crates/node/tests/routes.rs
+++ b/crates/node/tests/routes.rs
@@ -1,4 +1,4 @@
-//! A routing table, once in the store, is in force on every node, and never reverts.
+//! A routing table in the store takes effect on every node and never reverts to an older version.
 
 mod common;
 
@@ -10,13 +10,14 @@
 use mintridge_core::outcome::Reason;
 use mintridge_core::route::{Route, Table};
 
-/// Largest message that nodes of these tests take from each other, in bytes.
-const MESSAGE_MOST: usize = 128 * 1024;
-/// A node that has heard a peer once does not turn to the store for want of peers.
-const NEVER: Duration = Duration::from_hours(1);
+/// Maximum size of a message between the nodes of these tests.
+const MAX_MESSAGE_BYTES: usize = 128 * 1024;
+/// Longer than any test, so that a node that has contacted a peer never counts as isolated and
+/// therefore never reads the store for that reason.
+const ISOLATED_AFTER: Duration = Duration::from_hours(1);
 
-/// A table with a route for `/` and so many others.
-fn with_others(version: u64, others: u32) -> Table {
+/// Returns a table with a route for `/` and this many other routes.
+fn table_with_others(version: u64, others: u32) -> Table {
     let mut routes = vec![route("/")];
     for index in 0..others {
         let name = index.wrapping_mul(2_654_435_761);
@@ -25,7 +26,7 @@
     table(version, routes)
 }
 
-async fn until_version(scene: &Scene, version: u64) {
+async fn wait_for_version(scene: &Scene, version: u64) {
     scene
         .until("the version is in force everywhere", |status| {
             status.routes_version == version
@@ -33,84 +34,84 @@
         .await;
 }
 
-/// Six hosts in one zone: two of their nodes use the store, four learn from peers.
-async fn one_zone() -> Scene {
+/// Starts six hosts in one zone: two of their nodes read the store, four get updates from peers.
+async fn start_one_zone() -> Scene {
     let plan = Plan {
         services: vec![("service", 6)],
         zones: vec!["zone-a"],
         adjust: |settings| {
             settings.routes.key = Some(String::from(ROUTES));
-            settings.control.message_bytes_most = MESSAGE_MOST;
-            settings.control.isolated_after = NEVER;
+            settings.control.message_bytes_most = MAX_MESSAGE_BYTES;
+            settings.control.isolated_after = ISOLATED_AFTER;
         },
         ..Plan::default()
     };
     processes(plan).await
 }
 
-/// Operators add 1,900 routes at once. Four of six nodes learn it from peers alone, and the
-/// table is longer than a message between nodes may be. It arrives all the same, since what
-/// travels is much shorter; callers are served by it, and a later table replaces it.
+/// Operators add 1,900 routes at once, which makes the table longer than a message between nodes
+/// may be. It must still reach the four of six nodes that get it only from peers, since it is sent
+/// compressed. Callers are served, and a later table replaces it.
 #[tokio::test]
 async fn table_of_many_routes_reaches_nodes_that_learn_from_peers() {
-    let scene = one_zone().await;
-    write_table(&scene, &with_others(1, 0));
-    until_version(&scene, 1).await;
-    let length = write_table(&scene, &with_others(2, 1_900));
-    assert!(length > 2 * MESSAGE_MOST, "{length}");
-    until_version(&scene, 2).await;
+    let scene = start_one_zone().await;
+    write_table(&scene, &table_with_others(1, 0));
+    wait_for_version(&scene, 1).await;
+    let length = write_table(&scene, &table_with_others(2, 1_900));
+    assert!(length > 2 * MAX_MESSAGE_BYTES, "{length}");
+    wait_for_version(&scene, 2).await;
     assert!(scene.call(5, &get("request")).await.is_success());
-    write_table(&scene, &with_others(3, 0));
-    until_version(&scene, 3).await;
+    write_table(&scene, &table_with_others(3, 0));
+    wait_for_version(&scene, 3).await;
 }
 
-/// The store comes back from before and holds an older table, also one that does not parse:
-/// every node keeps the version it has, and the next higher one is taken.
+/// The store is restored to an older table, or its table cannot be parsed: every node keeps the
+/// version it has, and applies the next higher one.
 #[tokio::test]
 async fn table_in_force_never_reverts() {
-    let scene = one_zone().await;
-    write_table(&scene, &with_others(5, 0));
-    until_version(&scene, 5).await;
-    write_table(&scene, &with_others(4, 0));
+    let scene = start_one_zone().await;
+    write_table(&scene, &table_with_others(5, 0));
+    wait_for_version(&scene, 5).await;
+    write_table(&scene, &table_with_others(4, 0));
     scene.store.overwrite(ROUTES, b"{ not a table");
     for _ in 0..10 {
-        until_version(&scene, 5).await;
+        wait_for_version(&scene, 5).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    write_table(&scene, &with_others(6, 0));
-    until_version(&scene, 6).await;
+    write_table(&scene, &table_with_others(6, 0));
+    wait_for_version(&scene, 6).await;
 }
 
-/// One route of a table cannot be read, because it was written for a newer node. Callers of all
-/// other routes are served. Those of this one are refused as not run and told when to come back,
-/// also where a shorter prefix would take them, until a version that can be read is in force.
+/// One route of a table cannot be parsed, because it was written for a newer node. Requests on all
+/// other routes are served. Requests on this one are refused as not run with a `Retry-After`, even
+/// if a shorter prefix matches, until a version that can be parsed is in force.
 #[tokio::test]
 async fn table_with_a_closed_route_serves_the_others() {
-    let scene = one_zone().await;
-    let mut partly = with_others(1, 0);
-    let routes = partly.hosts.values_mut().next().expect("a host");
+    let scene = start_one_zone().await;
+    let mut partial = table_with_others(1, 0);
+    let routes = partial.hosts.values_mut().next().expect("a host");
     routes.push(Route::closed(Arc::from("newer"), Arc::from("/newer/")));
-    write_table(&scene, &partly);
-    until_version(&scene, 1).await;
+    write_table(&scene, &partial);
+    wait_for_version(&scene, 1).await;
     assert!(scene.call(0, &get("served")).await.is_success());
     let call = Call {
         path: String::from("/newer/1"),
         ..get("closed")
     };
     for entry in 0..scene.hosts.len() {
-        let told = scene.call(entry, &call).await;
-        let told_when = matches!(
-            told,
+        let reply = scene.call(entry, &call).await;
+        let has_retry_after = matches!(
+            reply,
             Told::Refused {
                 reason: Reason::Unconfigured,
                 retry_after: Some(1),
                 ..
             }
         );
-        assert!(told_when && told.is_not_run(), "{told:?}");
+        assert!(has_retry_after && reply.is_not_run(), "{reply:?}");
     }
     assert_eq!(scene.runs("closed"), 0);
-    write_table(&scene, &with_others(2, 0));
-    until_version(&scene, 2).await;
+    write_table(&scene, &table_with_others(2, 0));
+    wait_for_version(&scene, 2).await;
     assert!(scene.call(0, &call).await.is_success());
 }
--- a/crates/node/tests/traces.rs
+++ b/crates/node/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Traces: joined from hop to hop.
+//! Trace context is propagated from the caller to the upstream.
 
 mod common;
 
@@ -11,15 +11,15 @@
 const TRACE: &str = "0af7651916cd43dd8448eb211c80319c";
 const SPAN: &str = "b7ad6b7169203331";
 
-/// The trace context that reaches the upstream for this one of the caller.
-async fn seen(scene: &Scene, sent: &str) -> Option<String> {
+/// Sends a request with this trace context and returns the one that the upstream received.
+async fn upstream_traceparent(scene: &Scene, sent: &str) -> Option<String> {
     let headers = [(TRACEPARENT, sent)];
     let caller = Caller::default();
     let response = caller
         .send(scene.addresses(0).callers, &get("traced"), &headers)
         .await?;
-    let seen = response.headers().get(SEEN_TRACEPARENT)?;
-    Some(seen.to_str().ok()?.to_owned())
+    let received = response.headers().get(SEEN_TRACEPARENT)?;
+    Some(received.to_str().ok()?.to_owned())
 }
 
 #[rstest]
@@ -34,13 +34,13 @@
     };
     let plan = Plan { adjust, ..hosts(2) };
     let scene = threads(plan).await;
-    let seen = seen(&scene, &format!("00-{TRACE}-{SPAN}-01"))
+    let received = upstream_traceparent(&scene, &format!("00-{TRACE}-{SPAN}-01"))
         .await
         .expect("it passes");
-    assert!(seen.contains(TRACE), "{seen}");
+    assert!(received.contains(TRACE), "{received}");
     assert_eq!(
-        seen.contains(SPAN),
+        received.contains(SPAN),
         !sampled,
-        "each hop has its own span: {seen}"
+        "each hop has its own span: {received}"
     );
 }
