--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -1,4 +1,4 @@
-//! Links to peers: one HTTP/2 connection to each, checked while it is in use.
+//! Links to peers: one HTTP/2 connection per peer, with liveness checks while it is in use.
 
 use std::collections::HashMap;
 use std::error::Error as _;
@@ -22,32 +22,32 @@
 use crate::configs::link::Settings;
 use crate::headers;
 
-/// Path answered by every peer at once, by which a link is checked.
+/// Path that every peer answers immediately; used to check a link.
 pub const CHECK_PATH: &str = "/mintridge/link-check";
-/// Path answered by the node beside the upstream once the request named in the headers has a
-/// slot, or was refused.
+/// Path that the node beside the upstream answers once the request identified in the headers has a
+/// slot or has been refused.
 pub const SLOT_PATH: &str = "/mintridge/slot";
 
-/// How far a request got on a link that failed.
+/// Failure of a request on a link, by how far the request got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// No byte of it was sent.
-    #[error("the peer cannot be reached; nothing was sent")]
+    /// No link could be opened or used; no byte of the request was sent.
+    #[error("the peer is unreachable; nothing was sent")]
     NeverSent,
-    /// No link was ready in time, so no byte of it was sent.
+    /// No link was ready by the deadline; no byte of the request was sent.
     #[error("no link to the peer was ready in time; nothing was sent")]
     NoLinkInTime,
-    /// It was sent, and the link broke before the answer.
-    #[error("the link broke before the answer")]
+    /// The request was sent, and the link broke before the response.
+    #[error("the link broke before the response")]
     Broken,
-    /// It was sent, and no answer came in time.
-    #[error("the peer did not answer in time")]
+    /// The request was sent, and no response arrived by the deadline.
+    #[error("the peer did not respond in time")]
     Unanswered,
 }
 
 type Sender = http2::SendRequest<Body>;
 
-/// An open link and how many requests are in progress on it.
+/// An open link and the number of requests in progress on it.
 #[derive(Clone, Debug)]
 struct Link {
     sender: Sender,
@@ -55,101 +55,102 @@
     in_progress: Arc<AtomicUsize>,
 }
 
-/// The question whether a request has a slot; `None` if its number cannot be sent.
+/// Builds the request that asks a peer whether a caller's request has a slot; `None` if it cannot be
+/// built.
 #[must_use]
-pub fn slot_question(number: &str) -> Option<Request<Body>> {
-    let mut question = Request::builder()
+pub fn slot_question(request_id: &str) -> Option<Request<Body>> {
+    let mut request = Request::builder()
         .method(Method::GET)
         .uri(format!("http://peer{SLOT_PATH}"))
         .body(reply::empty())
         .ok()?;
-    headers::write_number(number, question.headers_mut());
-    Some(question)
+    headers::write_request_id(request_id, request.headers_mut());
+    Some(request)
 }
 
 /// Links by address.
 #[derive(Debug)]
 pub struct Links {
     settings: Settings,
-    slots: Mutex<HashMap<SocketAddr, Arc<Slot>>>,
+    entries: Mutex<HashMap<SocketAddr, Arc<Entry>>>,
 }
 
-/// A link and what is known of it. Whoever checks it or opens a new one holds the lock of `open`.
+/// The link to one peer and its activity. The lock of `open` is held while the link is checked or a
+/// new one is opened.
 #[derive(Debug, Default)]
-struct Slot {
+struct Entry {
     open: tokio::sync::Mutex<Option<Link>>,
-    seen: Mutex<Seen>,
+    activity: Mutex<Activity>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
-    /// When something was last heard on the link.
-    heard_at: Option<Instant>,
-    /// When the last attempt to open one failed.
-    failed_at: Option<Instant>,
+struct Activity {
+    /// When something was last received on the link.
+    received_at: Option<Instant>,
+    /// When an attempt to open a link last failed.
+    open_failed_at: Option<Instant>,
 }
 
-impl Slot {
-    /// Notes that the link lives, and waits for nobody.
+impl Entry {
+    /// Records that something was received on the link, without the lock of `open`.
     ///
-    /// Failure: an answer comes while another request waits for a check of the link. Symptom: with
-    /// the lock of that check the answer waits too, in the worst case beyond its deadline.
-    fn heard(&self) {
-        self.seen.lock().heard_at = Some(Instant::now());
+    /// Failure: a response arrives while another request waits for a check of the link. Symptom: if
+    /// recording it needed the lock that is held during the check, the response would wait too, in
+    /// the worst case beyond its deadline. The activity therefore has its own short lock.
+    fn record_received(&self) {
+        self.activity.lock().received_at = Some(Instant::now());
     }
 
-    fn was_heard_since(&self, since: Option<Instant>) -> bool {
+    fn has_received_since(&self, since: Option<Instant>) -> bool {
         since.is_none_or(|since| {
-            self.seen
+            self.activity
                 .lock()
-                .heard_at
-                .is_some_and(|heard| heard >= since)
+                .received_at
+                .is_some_and(|received_at| received_at >= since)
         })
     }
 }
 
 impl Links {
-    /// No link yet; each is opened when first used.
+    /// Creates an empty set; each link is opened on first use.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
-            slots: Mutex::default(),
+            entries: Mutex::default(),
         }
     }
 
-    /// Forgets links to addresses that are no longer in use.
+    /// Removes links to addresses that are no longer in use.
     pub fn keep(&self, in_use: impl Fn(&SocketAddr) -> bool) {
-        self.slots.lock().retain(|address, _| in_use(address));
+        self.entries.lock().retain(|address, _| in_use(address));
     }
 
-    /// Closes links that nothing was heard on for long; one that still carries a request ends
-    /// with it.
+    /// Closes links on which nothing was received for `close_after_idle` and returns the number
+    /// that remain. A link that still carries a request closes when the request ends.
     ///
-    /// Failure: in a fleet of hundreds each node meets nearly every other now and then. Symptom:
-    /// memory and open files of a node follow the size of the fleet.
-    ///
-    /// Returns how many are left.
+    /// Failure: in a fleet of hundreds of hosts, each node occasionally connects to nearly every
+    /// other. Symptom: memory and open files of a node grow with the size of the fleet.
     pub fn close_idle(&self, now: Instant) -> usize {
         let since = now.checked_sub(self.settings.close_after_idle);
-        let mut slots = self.slots.lock();
-        slots.retain(|_, slot| {
-            // A link whose lock is held is in use at this moment.
-            let Ok(open) = slot.open.try_lock() else {
+        let mut entries = self.entries.lock();
+        entries.retain(|_, entry| {
+            // A link whose lock is held is being checked or opened for a request.
+            let Ok(open) = entry.open.try_lock() else {
                 return true;
             };
-            open.is_some() && slot.was_heard_since(since)
+            open.is_some() && entry.has_received_since(since)
         });
-        slots.len()
+        entries.len()
     }
 
     /// Sends a request and waits for the head of the response until `until`.
     ///
-    /// Waiting for the link and waiting for the answer end apart, since a request that met its
-    /// deadline before it was sent certainly did not run.
+    /// A timeout while waiting for the link and one while waiting for the response are separate
+    /// errors, because a request whose deadline passed before it was sent certainly did not run.
     ///
     /// # Errors
-    /// If the link cannot be opened or breaks, or time runs out.
+    /// If the link cannot be opened or breaks, or the deadline passes.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -157,14 +158,14 @@
         until: Instant,
     ) -> Result<Response<Incoming>, Error> {
         let until = until.into();
-        let slot = self.slot(address);
-        let ready = tokio::time::timeout_at(until, self.ready(&slot, address)).await;
+        let entry = self.entry(address);
+        let ready = tokio::time::timeout_at(until, self.ready(&entry, address)).await;
         let mut link = ready.map_err(|_| Error::NoLinkInTime)??;
         let _in_progress = Counted::new(Arc::clone(&link.in_progress));
         let sent = tokio::time::timeout_at(until, link.sender.try_send_request(request)).await;
         match sent.map_err(|_| Error::Unanswered)? {
             Ok(response) => {
-                slot.heard();
+                entry.record_received();
                 Ok(response)
             }
             Err(mut error) => {
@@ -176,77 +177,80 @@
         }
     }
 
-    /// Whether a new connection to the peer can be opened now, whatever became of the
-    /// one in use: a lost connection is no fault of the host's.
+    /// Returns whether a working link to the peer exists or can be opened now. The loss of a
+    /// connection alone does not mean that the host has failed.
     pub async fn can_connect(&self, address: SocketAddr) -> bool {
-        let slot = self.slot(address);
-        self.ready(&slot, address).await.is_ok()
+        let entry = self.entry(address);
+        self.ready(&entry, address).await.is_ok()
     }
 
-    fn slot(&self, address: SocketAddr) -> Arc<Slot> {
-        Arc::clone(self.slots.lock().entry(address).or_default())
+    fn entry(&self, address: SocketAddr) -> Arc<Entry> {
+        Arc::clone(self.entries.lock().entry(address).or_default())
     }
 
-    /// A link that was heard lately, or a new one.
+    /// Returns a link that is known to work, or opens a new one.
     ///
-    /// Failure: something between two nodes loses track of an idle connection, or takes a
-    /// new one and cuts it. Symptom: the request sent on it hangs or breaks, and an
-    /// unrepeatable one ends as unknown. A link that was not heard lately, a new one
-    /// included, answers a cheap request first; if it does not, nothing was risked.
+    /// Failure: a device between two nodes loses the state of an idle connection, or accepts a new
+    /// connection and then cuts it. Symptom: the request sent on it hangs or breaks, and a
+    /// non-repeatable request ends with an unknown outcome. A new link, or one on which nothing was
+    /// received recently, must therefore answer a cheap check first; if the check fails, the
+    /// request has not been sent.
     ///
-    /// Failure: a host falls silent while many requests wait for its link. Symptom: each makes an
-    /// attempt of its own when its turn comes, and the last ones meet their deadline in the line.
-    /// An attempt that failed while a request waited tells it what one of its own would.
-    async fn ready(&self, slot: &Slot, address: SocketAddr) -> Result<Link, Error> {
-        let asked_at = Instant::now();
-        let mut open = slot.open.lock().await;
+    /// Failure: a host stops responding while many requests wait for its link. Symptom: each
+    /// request in turn makes its own attempt to connect, and the last ones reach their deadline in
+    /// the queue. If an attempt failed while a request waited, the request fails without another
+    /// attempt, which would only repeat the result.
+    async fn ready(&self, entry: &Entry, address: SocketAddr) -> Result<Link, Error> {
+        let requested_at = Instant::now();
+        let mut open = entry.open.lock().await;
         if let Some(link) = open.as_mut()
             && !link.sender.is_closed()
-            && self.is_alive(slot, link).await
+            && self.is_alive(entry, link).await
         {
             return Ok(link.clone());
         }
         if open.take().is_some() {
-            log::info!(peer:% = address; "link ended or is silent; another is opened");
+            log::info!(peer:% = address; "link closed or unresponsive; opening a new one");
         }
-        let failed_at = slot.seen.lock().failed_at;
-        if failed_at.is_some_and(|failed_at| failed_at > asked_at) {
+        let open_failed_at = entry.activity.lock().open_failed_at;
+        if open_failed_at.is_some_and(|failed_at| failed_at > requested_at) {
             return Err(Error::NeverSent);
         }
         let opened = self.open(address).await;
         if let Ok(link) = &opened {
-            slot.heard();
+            entry.record_received();
             *open = Some(link.clone());
         } else {
-            slot.seen.lock().failed_at = Some(Instant::now());
-            let took = asked_at.elapsed().as_millis();
-            log::info!(peer:% = address, after_ms:% = took; "no link to the peer");
+            entry.activity.lock().open_failed_at = Some(Instant::now());
+            let took = requested_at.elapsed().as_millis();
+            log::info!(peer:% = address, after_ms:% = took; "failed to open a link to the peer");
         }
         opened
     }
 
     async fn open(&self, address: SocketAddr) -> Result<Link, Error> {
         let mut link = self.connect(address).await?;
-        if self.answers(&mut link).await {
+        if self.check(&mut link).await {
             Ok(link)
         } else {
             Err(Error::NeverSent)
         }
     }
 
-    async fn is_alive(&self, slot: &Slot, link: &mut Link) -> bool {
+    async fn is_alive(&self, entry: &Entry, link: &mut Link) -> bool {
         let since = Instant::now().checked_sub(self.settings.check_after_idle);
-        if slot.was_heard_since(since) {
+        if entry.has_received_since(since) {
             return true;
         }
-        let alive = self.answers(link).await;
+        let alive = self.check(link).await;
         if alive {
-            slot.heard();
+            entry.record_received();
         }
         alive
     }
 
-    async fn answers(&self, link: &mut Link) -> bool {
+    /// Returns whether the peer answers a check in time.
+    async fn check(&self, link: &mut Link) -> bool {
         let request = Request::builder()
             .method(Method::GET)
             .uri(format!("http://peer{CHECK_PATH}"))
@@ -254,19 +258,20 @@
         let Ok(request) = request else { return false };
         tokio::select! {
             biased;
-            answered = link.sender.send_request(request) => answered.is_ok(),
+            response = link.sender.send_request(request) => response.is_ok(),
             () = link.timer.sleep(self.settings.check_within) => false,
         }
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<Link, Error> {
-        let connected = self.handshake(address);
-        tokio::time::timeout(self.settings.connect_within, connected)
+        let connecting = self.handshake(address);
+        tokio::time::timeout(self.settings.connect_within, connecting)
             .await
             .map_err(|_| Error::NeverSent)?
     }
 
-    /// Pings run only while requests are open, so that idle links cost nothing.
+    /// Connects to the peer. Pings are sent only while requests are in progress, so idle links
+    /// cause no traffic.
     async fn handshake(&self, address: SocketAddr) -> Result<Link, Error> {
         let stream = TcpStream::connect(address)
             .await
@@ -290,41 +295,42 @@
         };
         let opened_at = Instant::now();
         tokio::spawn(async move {
-            let ended = connection.await;
-            log_end(
+            let result = connection.await;
+            log_close(
                 address,
                 opened_at,
                 in_progress.load(Ordering::Relaxed),
-                ended,
+                result,
             );
         });
         Ok(link)
     }
 }
 
-/// One line for a link that ended under requests, whose outcome is unknown from here on.
-fn log_end(
+/// Logs the close of a link, as a warning if requests were in progress on it: this node cannot
+/// learn their outcome any more.
+fn log_close(
     address: SocketAddr,
     opened_at: Instant,
     in_progress: usize,
-    ended: Result<(), hyper::Error>,
+    result: Result<(), hyper::Error>,
 ) {
     if in_progress == 0 {
-        log::debug!(peer:% = address, reason = why(ended); "link ended");
+        log::debug!(peer:% = address, reason = close_reason(result); "link closed");
         return;
     }
     log::warn!(
         peer:% = address,
         age_ms:% = opened_at.elapsed().as_millis(),
         in_progress = in_progress,
-        reason = why(ended);
-        "link ended under requests"
+        reason = close_reason(result);
+        "link closed with requests in progress"
     );
 }
 
-fn why(ended: Result<(), hyper::Error>) -> String {
-    let Err(error) = ended else {
-        return String::from("closed, or no pong in time");
+fn close_reason(result: Result<(), hyper::Error>) -> String {
+    let Err(error) = result else {
+        return String::from("closed, or a ping was not answered in time");
     };
     error
         .source()
--- a/crates/node/tests/link.rs
+++ b/crates/node/tests/link.rs
@@ -1,4 +1,4 @@
-//! A link between two nodes, against a peer that a test scripts.
+//! Links between nodes, tested against a scripted peer.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -19,14 +19,15 @@
 use rstest::rstest;
 use tokio::net::TcpListener;
 
-/// Time that the peer takes for a request.
-const TAKES: Duration = Duration::from_millis(1_500);
-/// Time for which this side's thread does not run; the peer's pong comes meanwhile.
-const STARVED: Duration = Duration::from_millis(400);
-/// Milliseconds that bytes take to the peer, and back.
-const WAY: u64 = 50;
+/// Time that the peer takes to respond to a request.
+const RESPONSE_DELAY: Duration = Duration::from_millis(1_500);
+/// Time for which the client's thread does not run; the peer's pong arrives meanwhile.
+const STARVATION: Duration = Duration::from_millis(400);
+/// Delay that the relay adds in each direction, in milliseconds.
+const RELAY_DELAY_MS: u64 = 50;
 
-/// A peer on a thread of its own, which answers every check and counts the other requests.
+/// Starts a peer on its own thread that answers every check immediately and counts the other
+/// requests.
 fn peer() -> (SocketAddr, Arc<AtomicU32>) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -52,7 +53,7 @@
             async move {
                 if request.uri().path() != CHECK_PATH {
                     runs.fetch_add(1, Ordering::SeqCst);
-                    tokio::time::sleep(TAKES).await;
+                    tokio::time::sleep(RESPONSE_DELAY).await;
                 }
                 Ok::<_, Infallible>(Response::new(reply::empty()))
             }
@@ -62,23 +63,23 @@
     }
 }
 
-/// The address of a relay to the peer that takes its time.
-fn far(peer: SocketAddr) -> SocketAddr {
-    let (told, address) = mpsc::channel();
+/// Starts a slow relay to the peer and returns the relay's address.
+fn slow_relay_to(peer: SocketAddr) -> SocketAddr {
+    let (address_sender, address_receiver) = mpsc::channel();
     thread::spawn(move || {
         runtime().block_on(async move {
             let (listener, address) = loopback().await.expect("a port");
-            told.send(address).expect("the test waits");
+            address_sender.send(address).expect("the test waits");
             let relay = Arc::new(Relay::default());
-            relay.set(Condition::Slow(WAY));
+            relay.set(Condition::Slow(RELAY_DELAY_MS));
             relay.run(listener, peer).await;
         });
     });
-    address.recv().expect("the relay listens")
+    address_receiver.recv().expect("the relay listens")
 }
 
-/// A peer that accepts connections and never says anything.
-fn mute() -> (SocketAddr, std::net::TcpListener) {
+/// A peer that accepts connections and never sends anything.
+fn silent_peer() -> (SocketAddr, std::net::TcpListener) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     (listener.local_addr().expect("an address"), listener)
 }
@@ -88,13 +89,14 @@
     request.body(reply::empty()).expect("a request")
 }
 
-/// Guards against a link that is given up because this node's own thread was starved.
+/// Guards against closing a working link because the client's own thread was starved of CPU time
+/// and processed a pong or a check response late.
 #[rstest]
 #[case::while_it_opens(Duration::ZERO)]
-#[case::under_a_request(TAKES / 3)]
-fn send_outlives_a_thread_that_does_not_run(#[case] starved_after: Duration) {
+#[case::under_a_request(RESPONSE_DELAY / 3)]
+fn send_survives_a_starved_thread(#[case] starved_after: Duration) {
     let (peer, _) = peer();
-    let address = far(peer);
+    let address = slow_relay_to(peer);
     let links = Links::new(Settings {
         ping_every: Duration::from_millis(100),
         ping_within: Duration::from_millis(200),
@@ -105,21 +107,22 @@
             tokio::time::sleep(starved_after).await;
             loop {
                 tokio::time::sleep(Duration::from_millis(20)).await;
-                thread::sleep(STARVED);
+                thread::sleep(STARVATION);
             }
         };
         tokio::select! {
-            sent = links.send(address, request(), Instant::now() + 4 * TAKES) => sent,
+            sent = links.send(address, request(), Instant::now() + 4 * RESPONSE_DELAY) => sent,
             () = starving => unreachable!(),
         }
     });
     assert!(sent.is_ok(), "{sent:?}");
 }
 
-/// Guards against "may have run" for a request that met its deadline while a link was being opened.
+/// Guards against an unknown outcome for a request whose deadline passed while a link was being
+/// opened.
 #[test]
-fn send_says_that_nothing_was_sent_by_the_deadline() {
-    let (address, _listener) = mute();
+fn send_reports_that_nothing_was_sent_by_the_deadline() {
+    let (address, _listener) = silent_peer();
     let links = Links::new(Settings {
         check_within: Duration::from_secs(10),
         ..Settings::default()
@@ -129,12 +132,13 @@
     assert_eq!(sent.err(), Some(Error::NoLinkInTime));
 }
 
-/// Guards against "not run" for a request that was sent and met its deadline without an answer.
+/// Guards against the outcome "not run" for a request that was sent and whose deadline passed
+/// without a response.
 #[test]
-fn send_says_that_a_sent_request_is_unanswered() {
+fn send_reports_that_a_sent_request_is_unanswered() {
     let (address, runs) = peer();
     let links = Links::new(Settings::default());
-    let until = Instant::now() + TAKES / 2;
+    let until = Instant::now() + RESPONSE_DELAY / 2;
     let sent = runtime().block_on(links.send(address, request(), until));
     assert_eq!(sent.err(), Some(Error::Unanswered));
     assert_eq!(runs.load(Ordering::SeqCst), 1);
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links between nodes: how many stay open.
+//! Links between nodes: closing idle ones, and requests on a link that stops responding.
 
 mod common;
 
@@ -13,16 +13,16 @@
 use mintridge_standin::upstream::Manner;
 use tokio::task::JoinSet;
 
-/// Generous limit on any wait for a condition.
-const WAIT_MOST: Duration = Duration::from_mins(1);
-const LINKS: &str = "mintridge_links";
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Generous limit on each wait for a condition.
+const MAX_WAIT: Duration = Duration::from_mins(1);
+const LINKS_METRIC: &str = "mintridge_links";
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// In a fleet of hundreds each node meets nearly every other now and then. What callers see: each
-/// call is answered, on a link that is open or a new one. Links at rest are closed, so that open
-/// files and memory of a node do not follow the size of the fleet.
+/// Guards against open files and memory of a node that grow with the size of the fleet: in a fleet
+/// of hundreds of hosts, each node occasionally connects to nearly every other. Idle links must
+/// close, and each call must succeed, whether its link is open or has to be opened.
 #[tokio::test]
-async fn links_close_after_they_were_idle() {
+async fn idle_links_are_closed() {
     let close_soon = |settings: &mut mintridge_node::settings::Settings| {
         settings.link.close_after_idle = Duration::from_millis(500);
     };
@@ -32,25 +32,26 @@
     };
     let scene = processes(plan).await;
     for number in 0..60 {
-        let told = scene.call(0, &get(&format!("id-{number}"))).await;
-        assert!(told.is_success(), "{told:?}");
+        let reply = scene.call(0, &get(&format!("id-{number}"))).await;
+        assert!(reply.is_success(), "{reply:?}");
     }
-    let give_up_at = Instant::now() + WAIT_MOST;
-    while scene.counter(0, LINKS).await < 1.0 {
-        assert!(Instant::now() < give_up_at, "links were never seen open");
-        let told = scene.call(0, &get("id-once-more")).await;
-        assert!(told.is_success(), "{told:?}");
+    let deadline = Instant::now() + MAX_WAIT;
+    while scene.counter(0, LINKS_METRIC).await < 1.0 {
+        assert!(Instant::now() < deadline, "links were never seen open");
+        let reply = scene.call(0, &get("id-once-more")).await;
+        assert!(reply.is_success(), "{reply:?}");
     }
-    while scene.counter(0, LINKS).await > 0.0 {
-        assert!(Instant::now() < give_up_at, "links were never closed");
-        tokio::time::sleep(LOOK_EVERY).await;
+    while scene.counter(0, LINKS_METRIC).await > 0.0 {
+        assert!(Instant::now() < deadline, "links were never closed");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    let told = scene.call(0, &get("id-again")).await;
-    assert!(told.is_success(), "{told:?}");
+    let reply = scene.call(0, &get("id-again")).await;
+    assert!(reply.is_success(), "{reply:?}");
 }
 
-/// An entry whose link to the only host has fallen silent, for so long that it is checked before use.
-async fn silent_for_long() -> Scene {
+/// Starts a scene in which the entry's link to the only host has been unresponsive for so long that
+/// the link is checked before use.
+async fn scene_with_silent_link() -> Scene {
     let (scene, relay) = relayed().await;
     assert!(scene.call(ENTRY, &get("opens-the-link")).await.is_success());
     relay.set(Condition::Silent);
@@ -58,58 +59,64 @@
     scene
 }
 
-/// Requests sent at once on a link that has fallen silent.
-const AT_ONCE: usize = 60;
-/// Time in which each is told that the host cannot be reached: one check of the link and one
-/// attempt at a new one, with room for a busy machine.
-const TOLD_WITHIN: Duration = Duration::from_secs(4);
+/// Number of requests sent at once on an unresponsive link.
+const CONCURRENT_REQUESTS: usize = 60;
+/// Time within which each of them must be refused because the host is unreachable: one check of the
+/// link and one attempt to open a new one, with a margin for a busy machine.
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A host falls silent, and many callers ask for its service before anybody knows. What they see:
-/// a refusal within a second or so. They wait for one and the same check of the link; while each
-/// made a check of its own, one after the other, the last of 60 waited for fifteen seconds, and
-/// answers that had come on that link waited with them.
+/// A host stops responding, and many callers request its service before the failure is detected.
+/// All of them must share one check of the link and be refused within about a second. When each
+/// made its own check, one after the other, the last of 60 waited for fifteen seconds, and
+/// responses that had arrived on that link waited with them.
 #[tokio::test]
-async fn silent_link_is_checked_once_for_all_who_wait() {
-    let scene = silent_for_long().await;
+async fn silent_link_is_checked_once_for_all_waiting_requests() {
+    let scene = scene_with_silent_link().await;
     let entry = scene.addresses(ENTRY).callers;
     let mut sent = JoinSet::new();
-    for n in 0..AT_ONCE {
+    for n in 0..CONCURRENT_REQUESTS {
         let caller = scene.caller.clone();
         let call = within(30_000, get(&format!("id-{n}")));
         sent.spawn(async move { caller.call(entry, &call).await });
     }
-    for heard in sent.join_all().await {
-        assert!(heard.told.is_not_run(), "{:?}", heard.told);
-        assert!(heard.took < TOLD_WITHIN, "told after {:?}", heard.took);
+    for reply in sent.join_all().await {
+        assert!(reply.told.is_not_run(), "{:?}", reply.told);
+        assert!(
+            reply.took < REFUSAL_TIMEOUT,
+            "refused after {:?}",
+            reply.took
+        );
     }
 }
 
-/// Guards against "may have run" for a request that met its deadline while its link was checked.
+/// Guards against an unknown outcome for a request whose deadline passed while its link was being
+/// checked.
 #[tokio::test]
-async fn silent_link_is_not_run_for_who_met_its_deadline_waiting() {
-    let scene = silent_for_long().await;
-    let told = scene.call(ENTRY, &within(100, bare_post("waits"))).await;
-    assert!(told.is_not_run(), "{told:?}");
+async fn request_is_not_run_if_its_deadline_passes_during_a_link_check() {
+    let scene = scene_with_silent_link().await;
+    let reply = scene.call(ENTRY, &within(100, bare_post("waits"))).await;
+    assert!(reply.is_not_run(), "{reply:?}");
 }
 
-/// Time in which a request with three seconds is told that its link was lost; a new link that falls
-/// silent as well takes five.
-const LOST_TOLD_WITHIN: Duration = Duration::from_millis(4_500);
+/// Time within which a request with a timeout of three seconds must get the reply that its link was
+/// lost. Waiting for a new link, which is unresponsive as well, would take five seconds.
+const LINK_LOSS_TIMEOUT: Duration = Duration::from_millis(4_500);
 
-/// Guards against an answer that waits beyond its deadline for a new link after the old one was lost.
+/// Guards against a reply that is delayed beyond the deadline because the entry waits for a new
+/// link after it lost the old one.
 #[tokio::test]
-async fn lost_link_is_told_at_the_deadline() {
+async fn lost_link_is_reported_by_the_deadline() {
     let (mut scene, relay) = relayed().await;
-    let patient = scene.add_with("patient", "other", "zone-b", <_>::default(), |settings| {
-        settings.link.check_within = WAIT_MOST;
+    let added = scene.add_with("patient", "other", "zone-b", <_>::default(), |settings| {
+        settings.link.check_within = MAX_WAIT;
         settings.link.ping_within = Duration::from_secs(2);
     });
-    patient.await.expect("it starts");
+    added.await.expect("it starts");
     let entry = scene.hosts.len() - 1;
     until_known_behind(&scene, entry).await;
     assert!(scene.call(entry, &get("opens-the-link")).await.is_success());
     scene.behave(BEHIND, |behaviour| behaviour.manner = Manner::Silent);
-    let asking = {
+    let calling = {
         let caller = scene.caller.clone();
         let address = scene.addresses(entry).callers;
         tokio::spawn(async move {
@@ -120,7 +127,11 @@
     };
     wait_for("the request runs", || scene.runs("lost") == 1).await;
     relay.set(Condition::Silent);
-    let heard = asking.await.expect("the caller lives");
-    assert!(heard.told.is_unknown(), "{:?}", heard.told);
-    assert!(heard.took < LOST_TOLD_WITHIN, "told after {:?}", heard.took);
+    let reply = calling.await.expect("the caller lives");
+    assert!(reply.told.is_unknown(), "{:?}", reply.told);
+    assert!(
+        reply.took < LINK_LOSS_TIMEOUT,
+        "replied after {:?}",
+        reply.took
+    );
 }
