--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -1,7 +1,7 @@
-//! Calls to the upstream beside the node, over connections kept open.
+//! Calls to the upstream beside the node, over pooled connections.
 //!
-//! What comes back is sorted by what it proves: the answer to this very request, a
-//! statement that the request did not run, or nothing.
+//! A response is classified by what it proves: it is the response to this request, it states that
+//! the request did not run, or it proves nothing and is an error.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,133 +27,135 @@
 use crate::adapter::Adapter;
 use crate::configs;
 
-/// Idle connections are given up this long before the upstream says it closes them: a
-/// request must not meet the close on its way.
+/// Idle connections are discarded this long before the upstream has announced to close them,
+/// because a request that is sent while the upstream closes the connection is lost.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);
 
-/// Why no answer came.
+/// Reason for which no response was received.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No connection could be opened, or none of the request was written.
-    #[error("the upstream cannot be reached; nothing was sent")]
+    /// No connection could be opened, or no byte of the request was written.
+    #[error("the upstream is unreachable; nothing was sent")]
     NeverSent,
-    /// The deadline passed before a connection was open, so nothing of the request was written.
+    /// The deadline passed before a connection was open; no byte of the request was written.
     #[error("no connection to the upstream by the deadline; nothing was sent")]
     NoConnectionInTime,
-    /// The request was sent, and the deadline passed.
-    #[error("the upstream did not answer by the deadline")]
+    /// The request was sent, and the deadline passed without a response.
+    #[error("the upstream did not respond by the deadline")]
     Unanswered,
-    /// The connection broke, or the answer was cut short.
-    #[error("the upstream broke off: {0}")]
+    /// The connection broke, or the response is truncated or malformed.
+    #[error("the connection to the upstream broke: {0}")]
     Broken(#[from] hyper::Error),
-    /// The upstream started again before it answered.
-    #[error("the upstream started again before it answered")]
+    /// The upstream restarted before it responded.
+    #[error("the upstream restarted before it responded")]
     Restarted {
-        /// Whether the request was sent to the start before.
+        /// Whether the request may have been sent to the previous incarnation.
         sent: bool,
     },
-    /// The answer belongs to another request, or bears no mark of the upstream.
-    #[error("what came back is not the upstream's answer to this request")]
+    /// The response belongs to another request, or lacks the upstream's signature header.
+    #[error("the response received is not the upstream's response to this request")]
     Foreign,
 }
 
-/// Whether the upstream takes a new connection.
+/// Result of an attempt to open a new connection to the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// It does.
+    /// The upstream accepted the connection.
     Open,
-    /// Nothing listens at its address.
+    /// The connection was refused: nothing listens at the upstream's address.
     Refused,
-    /// It does not say: its host may be cut off, without power or paused.
+    /// No reply in time: the host may be disconnected, without power or paused.
     Silent,
 }
 
-/// What came back.
+/// Classified response of the upstream.
 pub enum Received {
-    /// The upstream's answer to this request.
+    /// The upstream's response to this request.
     Answer(Parts, Body),
-    /// The upstream says that the request did not run.
+    /// The upstream states that the request did not run.
     NotRun {
-        /// The instance that says so, if it names itself.
+        /// Id of the responding instance, if the response contains it.
         instance: Option<Arc<str>>,
-        /// Whether it is another instance than the one asked for.
+        /// Whether it is another instance than the expected one.
         misdirected: bool,
-        /// Its load, if it tells.
+        /// Load of the upstream, if the response contains it.
         load: Option<Load>,
     },
 }
 
-/// Connections to the upstream.
+/// Client of the upstream, with a pool of connections.
 pub struct Upstream {
-    names: configs::upstream::Settings,
+    settings: configs::upstream::Settings,
     request_header: Option<String>,
-    connect_within: Duration,
-    idle_for: Duration,
-    idle_most: usize,
+    connect_timeout: Duration,
+    idle_timeout: Duration,
+    max_idle: usize,
     adapter: Adapter,
-    idle: Arc<Mutex<Vec<Idle>>>,
-    /// Counts the starts of the upstream that were heard of.
+    idle: Arc<Mutex<Vec<Connection>>>,
+    /// Number of restarts of the upstream that were detected.
     starts: watch::Sender<u64>,
 }
 
 type Sender = http1::SendRequest<Body>;
 
-/// A connection without a request.
-struct Idle {
+/// An open connection.
+struct Connection {
     address: SocketAddr,
     sender: Sender,
-    unused_after: Instant,
+    expires_at: Instant,
 }
 
-/// A connection with a request, to be kept if its answer ends well.
-struct Busy {
-    idle: Arc<Mutex<Vec<Idle>>>,
-    idle_most: usize,
-    connection: Idle,
+/// A connection in use, to be returned to the pool once its response is complete. Dropping it
+/// instead closes the connection.
+struct Checkout {
+    idle: Arc<Mutex<Vec<Connection>>>,
+    max_idle: usize,
+    connection: Connection,
 }
 
-impl Busy {
-    fn keep(self) {
+impl Checkout {
+    fn check_in(self) {
         let mut idle = self.idle.lock();
-        if idle.len() < self.idle_most && !self.connection.sender.is_closed() {
+        if idle.len() < self.max_idle && !self.connection.sender.is_closed() {
             idle.push(self.connection);
         }
     }
 }
 
 impl Upstream {
-    /// No connection yet.
+    /// Creates a client without connections.
     #[must_use]
     pub fn new(settings: &crate::settings::Settings, adapter: Adapter) -> Self {
         Self {
-            names: settings.upstream.clone(),
+            settings: settings.upstream.clone(),
             request_header: settings.callers.request_header.clone(),
-            connect_within: settings.guard.connect_within,
-            idle_for: settings.guard.idle_connections_for,
-            idle_most: settings.guard.idle_connections_most,
+            connect_timeout: settings.guard.connect_within,
+            idle_timeout: settings.guard.idle_connections_for,
+            max_idle: settings.guard.idle_connections_most,
             adapter,
             idle: Arc::default(),
             starts: watch::Sender::new(0),
         }
     }
 
-    /// The upstream has started again: no connection to the start before is used any more, and
-    /// whoever waits for an answer of it is told at once.
+    /// Handles a restart of the upstream: discards idle connections to the previous incarnation and
+    /// immediately fails all requests that wait for a connection or a response.
     ///
-    /// Failure: a host loses power, and its upstream starts again. Symptom: connections to the
-    /// start before stay open and silent, and requests on them wait until their deadline.
+    /// Failure: a host loses power, and its upstream restarts. Symptom: connections to the previous
+    /// incarnation stay open without any traffic, and requests on them wait until their deadline.
     pub fn restarted(&self) {
         self.idle.lock().clear();
         self.starts.send_modify(|starts| *starts += 1);
     }
 
-    /// Sends a request and waits for its answer until the deadline.
+    /// Sends a request and waits for its response until the deadline.
     ///
-    /// Dropping the future closes the connection, by which the upstream learns that
-    /// nobody waits any more. Until a connection is open nothing was sent, whatever ends the wait.
+    /// Dropping the future closes the connection, which tells the upstream that the response is no
+    /// longer needed. Any error that occurs before a connection is open means that nothing was
+    /// sent.
     ///
     /// # Errors
-    /// If no answer to this request came.
+    /// If no response to this request was received.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -162,24 +164,24 @@
     ) -> Result<Received, Error> {
         let deadline = deadline.into();
         let mut starts = self.starts.subscribe();
-        let connecting = tokio::time::timeout_at(deadline, self.connection(address));
+        let acquiring = tokio::time::timeout_at(deadline, self.acquire(address));
         let connection = tokio::select! {
-            connected = connecting => connected.map_err(|_| Error::NoConnectionInTime)??,
+            acquired = acquiring => acquired.map_err(|_| Error::NoConnectionInTime)??,
             _ = starts.changed() => return Err(Error::Restarted { sent: false }),
         };
-        let answered = tokio::time::timeout_at(deadline, self.exchange(connection, request));
+        let exchanging = tokio::time::timeout_at(deadline, self.exchange(connection, request));
         tokio::select! {
-            received = answered => received.map_err(|_| Error::Unanswered)?,
+            received = exchanging => received.map_err(|_| Error::Unanswered)?,
             _ = starts.changed() => Err(Error::Restarted { sent: true }),
         }
     }
 
     async fn exchange(
         &self,
-        mut connection: Idle,
+        mut connection: Connection,
         request: Request<Body>,
     ) -> Result<Received, Error> {
-        let asked = Asked::of(self.request_header.as_deref(), request.headers());
+        let expected = Expectation::of(self.request_header.as_deref(), request.headers());
         let sent = connection.sender.try_send_request(request).await;
         let response = sent.map_err(|mut error| {
             if error.take_message().is_some() {
@@ -188,206 +190,225 @@
                 Error::Broken(error.into_error())
             }
         })?;
-        let busy = self.busy(connection, response.headers());
-        self.sort(&asked, response, busy).await
+        let checkout = self.checkout(connection, response.headers());
+        self.classify(&expected, response, checkout).await
     }
 
-    /// Asks something small that is no caller's request, over a connection kept open.
-    ///
-    /// An answer that does not name the instance may belong to an earlier request; it ends its
+    /// Sends a small GET request of the node's own, such as a health check, over a pooled
     /// connection.
     ///
+    /// A response that does not name the instance may belong to an earlier request; its connection
+    /// is closed.
+    ///
     /// # Errors
-    /// If no answer came.
+    /// If no valid response was received.
     pub async fn ask(&self, address: SocketAddr, path: &str) -> Result<Parts, Error> {
         let mut request = Request::new(reply::empty());
         *request.uri_mut() = path.parse().map_err(|_| Error::NeverSent)?;
         let host = HeaderValue::try_from(address.to_string()).map_err(|_| Error::NeverSent)?;
         request.headers_mut().insert(HOST, host);
-        let mut connection = self.connection(address).await?;
+        let mut connection = self.acquire(address).await?;
         let sent = connection.sender.send_request(request).await;
         let response = sent.map_err(Error::Broken)?;
-        let busy = self.busy(connection, response.headers());
+        let checkout = self.checkout(connection, response.headers());
         let (parts, body) = response.into_parts();
         if self.instance(&parts.headers).is_none() {
             return Err(Error::Foreign);
         }
         body.collect().await.map_err(Error::Broken)?;
-        busy.keep();
+        checkout.check_in();
         Ok(parts)
     }
 
-    /// Tries a new connection; one that opens is kept for the next request.
+    /// Tries to open a new connection; if it opens, it goes to the pool.
     pub async fn reach(&self, address: SocketAddr) -> Reach {
-        let connecting = tokio::time::timeout(self.connect_within, TcpStream::connect(address));
+        let connecting = tokio::time::timeout(self.connect_timeout, TcpStream::connect(address));
         match connecting.await {
             Err(_) => Reach::Silent,
             Ok(Err(_)) => Reach::Refused,
             Ok(Ok(stream)) => {
                 if let Some(connection) = self.open_on(address, stream).await {
-                    let busy = Busy {
+                    let checkout = Checkout {
                         idle: Arc::clone(&self.idle),
-                        idle_most: self.idle_most,
+                        max_idle: self.max_idle,
                         connection,
                     };
-                    busy.keep();
+                    checkout.check_in();
                 }
                 Reach::Open
             }
         }
     }
 
-    /// Whether answers tell the load.
+    /// Returns whether responses are expected to contain the upstream's load.
     #[must_use]
     pub const fn reports_load(&self) -> bool {
-        self.names.load_header.is_some()
+        self.settings.load_header.is_some()
     }
 
-    /// The load that an answer tells.
+    /// Returns the upstream's load from the headers of a response.
     #[must_use]
     pub fn load(&self, headers: &HeaderMap) -> Option<Load> {
-        let written = named(headers, self.names.load_header.as_deref())?;
-        (self.adapter.load)(written)
+        let value = header_text(headers, self.settings.load_header.as_deref())?;
+        (self.adapter.load)(value)
     }
 
-    /// How much longer the upstream stays cold, as the answer to a health check tells it.
+    /// Returns how much longer the upstream stays cold, from the headers of a health check
+    /// response.
     #[must_use]
     pub fn cold_for(&self, headers: &HeaderMap) -> Option<Duration> {
-        let written = named(headers, self.names.cold_header.as_deref())?;
-        (self.adapter.cold)(written)
+        let value = header_text(headers, self.settings.cold_header.as_deref())?;
+        (self.adapter.cold)(value)
     }
 
-    /// The instance that an answer names.
+    /// Returns the id of the instance from the headers of a response.
     #[must_use]
     pub fn instance(&self, headers: &HeaderMap) -> Option<Arc<str>> {
-        named(headers, self.names.instance_header.as_deref()).map(Arc::from)
+        header_text(headers, self.settings.instance_header.as_deref()).map(Arc::from)
     }
 
-    /// A connection on which an answer with these headers has begun.
-    fn busy(&self, connection: Idle, headers: &HeaderMap) -> Busy {
-        Busy {
+    /// Wraps a connection on which a response with these headers has started.
+    fn checkout(&self, connection: Connection, headers: &HeaderMap) -> Checkout {
+        Checkout {
             idle: Arc::clone(&self.idle),
-            idle_most: self.idle_most,
-            connection: Idle {
-                unused_after: self.unused_after(headers),
+            max_idle: self.max_idle,
+            connection: Connection {
+                expires_at: self.expires_at(headers),
                 ..connection
             },
         }
     }
 
-    async fn connection(&self, address: SocketAddr) -> Result<Idle, Error> {
-        if let Some(kept) = self.take_idle(address) {
-            return Ok(kept);
+    /// Returns a pooled connection, or opens a new one.
+    async fn acquire(&self, address: SocketAddr) -> Result<Connection, Error> {
+        if let Some(connection) = self.take_idle(address) {
+            return Ok(connection);
         }
         let connecting = async {
             let stream = TcpStream::connect(address).await.ok()?;
             self.open_on(address, stream).await
         };
-        let connected = tokio::time::timeout(self.connect_within, connecting).await;
+        let connected = tokio::time::timeout(self.connect_timeout, connecting).await;
         connected.ok().flatten().ok_or(Error::NeverSent)
     }
 
-    /// Makes a connection of an open stream.
-    async fn open_on(&self, address: SocketAddr, stream: TcpStream) -> Option<Idle> {
+    /// Starts HTTP/1 on an open stream.
+    async fn open_on(&self, address: SocketAddr, stream: TcpStream) -> Option<Connection> {
         stream.set_nodelay(true).ok()?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         tokio::spawn(async move {
             if let Err(error) = connection.await {
-                log::debug!(upstream:% = address, error:% = error; "connection ended");
+                log::debug!(
+                    upstream:% = address,
+                    error:% = error;
+                    "connection to the upstream failed"
+                );
             }
         });
-        Some(Idle {
+        Some(Connection {
             address,
             sender,
-            unused_after: Instant::now() + self.idle_for,
+            expires_at: Instant::now() + self.idle_timeout,
         })
     }
 
-    /// The connection used last, so that those not needed grow old and are given up.
-    fn take_idle(&self, address: SocketAddr) -> Option<Idle> {
+    /// Removes the most recently used ready connection from the pool, so that surplus connections
+    /// stay unused and expire.
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.idle.lock();
-        idle.retain(|kept| {
-            kept.address == address && now < kept.unused_after && !kept.sender.is_closed()
+        idle.retain(|connection| {
+            connection.address == address
+                && now < connection.expires_at
+                && !connection.sender.is_closed()
         });
-        let ready = idle.iter().rposition(|kept| kept.sender.is_ready())?;
+        let ready = idle
+            .iter()
+            .rposition(|connection| connection.sender.is_ready())?;
         Some(idle.remove(ready))
     }
 
-    fn unused_after(&self, headers: &HeaderMap) -> Instant {
+    fn expires_at(&self, headers: &HeaderMap) -> Instant {
         let now = Instant::now();
-        let told = named(headers, Some("keep-alive")).and_then(keep_alive_timeout);
-        let told = told.map_or(self.idle_for, |told| told.saturating_sub(KEEP_ALIVE_MARGIN));
-        now + told.min(self.idle_for)
+        let announced = header_text(headers, Some("keep-alive")).and_then(keep_alive_timeout);
+        let timeout = announced.map_or(self.idle_timeout, |announced| {
+            announced.saturating_sub(KEEP_ALIVE_MARGIN)
+        });
+        now + timeout.min(self.idle_timeout)
     }
 
-    /// Tells an answer to this request from everything else.
+    /// Determines whether a response belongs to this request and whether the request ran.
     ///
-    /// Failure: an upstream sends a second answer, or bytes that belong to no request, and
-    /// they arrive where the next answer is due. Symptom: a caller gets somebody else's
-    /// answer. The answer must bring back the id of its request and, if it is one of
-    /// success, the upstream's mark; otherwise its connection is closed with all that
-    /// may still come on it.
-    async fn sort(
+    /// Failure: an upstream sends a second response, or bytes that belong to no request, and they
+    /// arrive where the next response is expected. Symptom: a caller gets another caller's
+    /// response. A response must therefore echo the id of its request and, if it is a success,
+    /// contain the upstream's signature header. Otherwise the connection is closed, so that nothing
+    /// that still arrives on it is used.
+    async fn classify(
         &self,
-        asked: &Asked,
+        expected: &Expectation,
         response: Response<Incoming>,
-        busy: Busy,
+        checkout: Checkout,
     ) -> Result<Received, Error> {
         let (mut parts, body) = response.into_parts();
-        if !asked.is_answered_by(&parts.headers) {
+        if !expected.matches_id(&parts.headers) {
             return Err(Error::Foreign);
         }
         let misdirected = parts.status == StatusCode::MISDIRECTED_REQUEST
-            && self.names.expected_instance_header.is_some();
-        if misdirected || named(&parts.headers, self.names.not_run_header.as_deref()).is_some() {
+            && self.settings.expected_instance_header.is_some();
+        if misdirected
+            || header_text(&parts.headers, self.settings.not_run_header.as_deref()).is_some()
+        {
             let not_run = Received::NotRun {
                 instance: self.instance(&parts.headers),
                 misdirected,
                 load: self.load(&parts.headers),
             };
             if body.collect().await.is_ok() {
-                busy.keep();
+                checkout.check_in();
             }
             return Ok(not_run);
         }
-        let signed = self.names.signature_header.is_none()
-            || named(&parts.headers, self.names.signature_header.as_deref()).is_some();
-        if parts.status.is_success() && !signed || !asked.allows_encoding(&parts.headers) {
+        let signed = self.settings.signature_header.is_none()
+            || header_text(&parts.headers, self.settings.signature_header.as_deref()).is_some();
+        if parts.status.is_success() && !signed || !expected.allows_encoding(&parts.headers) {
             return Err(Error::Foreign);
         }
-        let body = self.hold(body, busy).await?;
-        if body.whole {
+        let body = self.buffer(body, checkout).await?;
+        if body.is_complete {
             parts.headers.remove(TRANSFER_ENCODING);
             parts.headers.remove(CONTENT_LENGTH);
         }
         Ok(Received::Answer(parts, body.body))
     }
 
-    /// Waits for the whole body if it is short.
-    async fn hold(&self, mut body: Incoming, busy: Busy) -> Result<HeldBody, Error> {
-        let mut arrived = BytesMut::new();
-        while let Some(frame) = self.next_to_hold(&mut body, arrived.len()).await {
+    /// Waits for the complete body if it is at most `answer_held_most` bytes long; streams a longer
+    /// one.
+    async fn buffer(&self, mut body: Incoming, checkout: Checkout) -> Result<ResponseBody, Error> {
+        let mut buffered = BytesMut::new();
+        while let Some(frame) = self.next_frame(&mut body, buffered.len()).await {
             match frame {
                 Next::Frame(frame) => {
                     if let Ok(data) = frame?.into_data() {
-                        arrived.extend_from_slice(&data);
+                        buffered.extend_from_slice(&data);
                     }
                 }
-                Next::TooLong => return Ok(HeldBody::rest(arrived.freeze(), body, busy)),
+                Next::TooLong => {
+                    return Ok(ResponseBody::stream(buffered.freeze(), body, checkout));
+                }
             }
         }
-        busy.keep();
-        Ok(HeldBody {
-            body: reply::full(arrived.freeze()),
-            whole: true,
+        checkout.check_in();
+        Ok(ResponseBody {
+            body: reply::full(buffered.freeze()),
+            is_complete: true,
         })
     }
 
-    async fn next_to_hold(&self, body: &mut Incoming, held: usize) -> Option<Next> {
+    async fn next_frame(&self, body: &mut Incoming, buffered: usize) -> Option<Next> {
         let announced = hyper::body::Body::size_hint(body).lower();
-        let left = usize::try_from(announced).unwrap_or(usize::MAX);
-        if held.saturating_add(left) > self.names.answer_held_most {
+        let remaining = usize::try_from(announced).unwrap_or(usize::MAX);
+        if buffered.saturating_add(remaining) > self.settings.answer_held_most {
             return Some(Next::TooLong);
         }
         body.frame().await.map(Next::Frame)
@@ -399,45 +420,47 @@
     TooLong,
 }
 
-struct HeldBody {
+struct ResponseBody {
     body: Body,
-    whole: bool,
+    is_complete: bool,
 }
 
-impl HeldBody {
-    /// A long body passes on as it comes; its connection is kept once it has ended.
-    fn rest(begun: Bytes, body: Incoming, busy: Busy) -> Self {
-        let first = (!begun.is_empty()).then_some(begun);
-        let state = (first, body, Some(busy));
-        let frames = futures_util::stream::unfold(state, |(first, mut body, mut busy)| async {
-            if let Some(begun) = first {
-                return Some((Ok(Frame::data(begun)), (None, body, busy)));
+impl ResponseBody {
+    /// Streams a long body, starting with the part already read. Its connection returns to the pool
+    /// when the body ends without an error.
+    fn stream(buffered: Bytes, body: Incoming, checkout: Checkout) -> Self {
+        let first = (!buffered.is_empty()).then_some(buffered);
+        let state = (first, body, Some(checkout));
+        let frames = futures_util::stream::unfold(state, |(first, mut body, mut checkout)| async {
+            if let Some(buffered) = first {
+                return Some((Ok(Frame::data(buffered)), (None, body, checkout)));
             }
             let Some(frame) = body.frame().await else {
-                if let Some(busy) = busy.take() {
-                    busy.keep();
+                if let Some(checkout) = checkout.take() {
+                    checkout.check_in();
                 }
                 return None;
             };
             if frame.is_err() {
-                busy = None;
+                checkout = None;
             }
-            Some((frame.map_err(std::io::Error::other), (None, body, busy)))
+            Some((frame.map_err(std::io::Error::other), (None, body, checkout)))
         });
         Self {
             body: Body::new(StreamBody::new(frames)),
-            whole: false,
+            is_complete: false,
         }
     }
 }
 
-/// What an answer has to fit.
-struct Asked {
+/// What a response must match.
+struct Expectation {
+    /// Name and value of the request id header, if the request has one.
     id: Option<(String, Bytes)>,
-    encodings: bool,
+    accepts_encoding: bool,
 }
 
-impl Asked {
+impl Expectation {
     fn of(request_header: Option<&str>, headers: &HeaderMap) -> Self {
         let id = request_header.and_then(|name| {
             let value = headers.get(name)?;
@@ -445,11 +468,11 @@
         });
         Self {
             id,
-            encodings: headers.contains_key(ACCEPT_ENCODING),
+            accepts_encoding: headers.contains_key(ACCEPT_ENCODING),
         }
     }
 
-    fn is_answered_by(&self, headers: &HeaderMap) -> bool {
+    fn matches_id(&self, headers: &HeaderMap) -> bool {
         let Some((name, id)) = &self.id else {
             return true;
         };
@@ -458,17 +481,18 @@
             .is_some_and(|echoed| echoed.as_bytes() == id)
     }
 
-    /// An encoding that nobody asked for is not the upstream's doing.
+    /// Returns whether the response may have its content encoding. If the request did not ask for
+    /// an encoding, something other than the upstream has added it.
     fn allows_encoding(&self, headers: &HeaderMap) -> bool {
-        self.encodings || self.id.is_none() || !headers.contains_key(CONTENT_ENCODING)
+        self.accepts_encoding || self.id.is_none() || !headers.contains_key(CONTENT_ENCODING)
     }
 }
 
-fn named<'a>(headers: &'a HeaderMap, name: Option<&str>) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: Option<&str>) -> Option<&'a str> {
     headers.get(name?)?.to_str().ok()
 }
 
-/// The timeout of a `Keep-Alive` field.
+/// Returns the timeout of a `Keep-Alive` field.
 fn keep_alive_timeout(field: &str) -> Option<Duration> {
     field
         .split(',')
--- a/crates/node/tests/upstream.rs
+++ b/crates/node/tests/upstream.rs
@@ -1,5 +1,5 @@
-//! What comes back from an upstream is the answer to this very request, or a statement that
-//! it did not run, or nothing that can be believed.
+//! Classification of an upstream's responses: the response to this request, a statement that the
+//! request did not run, or an error.
 
 mod common;
 
@@ -19,7 +19,7 @@
 use mintridge_node::upstream::{Error, Received, Upstream};
 use rstest::rstest;
 
-/// Answers to the requests of one connection, in order; `ID` stands for the request's id.
+/// Responses to the requests of one connection, in order; `ID` is replaced by the request's id.
 type Script = &'static [&'static str];
 
 const GOOD: &str = "HTTP/1.1 200 OK\r\nx-id: ID\r\nx-sign: s\r\ncontent-length: 4\r\n\r\ngood";
@@ -29,16 +29,16 @@
     connections: Arc<AtomicUsize>,
 }
 
-/// Plays one script for each connection; it is closed when its script has ended.
+/// Starts a server that plays one script per connection.
 fn start(scripts: &'static [Script]) -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let connections = Arc::new(AtomicUsize::new(0));
-    let counted = Arc::clone(&connections);
+    let counter = Arc::clone(&connections);
     std::thread::spawn(move || {
         for script in scripts {
             let (stream, _) = listener.accept().expect("accepted");
-            counted.fetch_add(1, Ordering::SeqCst);
+            counter.fetch_add(1, Ordering::SeqCst);
             std::thread::spawn(move || play(stream, script));
         }
     });
@@ -49,15 +49,15 @@
 }
 
 fn play(mut stream: TcpStream, script: Script) {
-    for answer in script {
+    for response in script {
         let Some(id) = read_id(&mut stream) else {
             return;
         };
-        let answer = answer.replace("ID", &id);
-        stream.write_all(answer.as_bytes()).expect("written");
+        let response = response.replace("ID", &id);
+        stream.write_all(response.as_bytes()).expect("written");
     }
-    // A connection whose script has ended stays open until the caller closes it, unless the
-    // last answer ends with the connection.
+    // At the end of its script the connection stays open until the client closes it, unless the end
+    // of the last response is marked by closing the connection.
     if !script.last().is_some_and(|last| last.contains("close")) {
         let _ = stream.read(&mut [0; 16]);
     }
@@ -87,8 +87,8 @@
     settings.upstream.load_header = Some("x-load".to_owned());
     settings.upstream.answer_held_most = 64;
     let adapter = Adapter {
-        load: |written| {
-            let slots = written.parse().ok()?;
+        load: |value| {
+            let slots = value.parse().ok()?;
             Some(Load {
                 slots,
                 ..Load::default()
@@ -110,12 +110,12 @@
     upstream.send(server.address, request, deadline).await
 }
 
-/// Guards against "may have run" for a request that ended before a connection was open.
+/// Guards against an unknown outcome for a request that failed before a connection was open.
 #[rstest]
 #[case::deadline(false)]
 #[case::restart(true)]
 #[tokio::test]
-async fn send_says_that_nothing_was_sent_without_a_connection(#[case] restarted: bool) {
+async fn send_reports_that_nothing_was_sent_without_a_connection(#[case] restarted: bool) {
     let (address, _listener, _waiting) = full();
     let upstream = upstream();
     let deadline = Instant::now() + Duration::from_millis(200);
@@ -145,38 +145,38 @@
     }
 }
 
-/// The caller would get somebody else's answer, or bytes that no upstream signed: an answer
-/// of another request arrives late, where this one's is due; something on the way answers;
-/// an encoding that nobody asked for is added. The request may have run.
+/// Guards against forwarding a response that is not the upstream's response to this request: a late
+/// response to another request, a response of a device in between, which is not signed, or one with
+/// a content encoding that was not asked for. The request may have run.
 #[rstest]
 #[case::of_another_request(&[&["HTTP/1.1 200 OK\r\nx-id: other\r\nx-sign: s\r\ncontent-length: 4\r\n\r\nevil"] as Script] as &[Script])]
 #[case::without_id(&[&["HTTP/1.1 200 OK\r\nx-sign: s\r\ncontent-length: 4\r\n\r\nevil"] as Script] as &[Script])]
 #[case::without_signature(&[&["HTTP/1.1 200 OK\r\nx-id: ID\r\ncontent-length: 4\r\n\r\nevil"] as Script] as &[Script])]
 #[case::encoded(&[&["HTTP/1.1 200 OK\r\nx-id: ID\r\nx-sign: s\r\ncontent-encoding: gzip\r\ncontent-length: 4\r\n\r\nevil"] as Script] as &[Script])]
 #[tokio::test]
-async fn send_refuses_a_foreign_answer(#[case] scripts: &'static [Script]) {
+async fn send_rejects_a_foreign_response(#[case] scripts: &'static [Script]) {
     let server = start(scripts);
     let received = send(&upstream(), &server, "1").await;
     assert!(matches!(received, Err(Error::Foreign)));
 }
 
-/// The answer ends early: its length is not reached, its chunks do not end, or it is no
-/// answer at all. It must not look complete.
+/// Guards against treating a truncated or malformed response as complete: fewer bytes than
+/// `Content-Length`, no final chunk, or no HTTP response at all.
 #[rstest]
 #[case::short(&[&["HTTP/1.1 200 OK\r\nx-id: ID\r\nx-sign: s\r\ncontent-length: 40\r\nconnection: close\r\n\r\nhalf"] as Script] as &[Script])]
 #[case::chunks(&[&["HTTP/1.1 200 OK\r\nx-id: ID\r\nx-sign: s\r\ntransfer-encoding: chunked\r\nconnection: close\r\n\r\n4\r\nhalf\r\n"] as Script] as &[Script])]
 #[case::garbage(&[&["close this is no answer\r\n\r\n"] as Script] as &[Script])]
 #[tokio::test]
-async fn send_does_not_take_a_part_for_the_whole(#[case] scripts: &'static [Script]) {
+async fn send_rejects_a_truncated_response(#[case] scripts: &'static [Script]) {
     let server = start(scripts);
     let received = send(&upstream(), &server, "1").await;
     assert!(matches!(received, Err(Error::Broken(_))));
 }
 
-/// A faulty upstream sends a second answer after the first. The next caller still gets its
-/// own answer, over a new connection, or an error; never those bytes.
+/// A faulty upstream sends a second response after the first. The next caller must get its own
+/// response over a new connection, or an error, but never the extra bytes.
 #[tokio::test]
-async fn send_after_a_second_answer_returns_no_foreign_bytes() {
+async fn send_after_a_second_response_returns_no_foreign_bytes() {
     const TWICE: &str = "HTTP/1.1 200 OK\r\nx-id: ID\r\nx-sign: s\r\ncontent-length: 4\r\n\r\ngood\
         HTTP/1.1 200 OK\r\nx-id: ID\r\nx-sign: s\r\ncontent-length: 4\r\n\r\nevil";
     let server = start(&[&[TWICE, GOOD], &[GOOD], &[GOOD]]);
@@ -190,29 +190,29 @@
     }
 }
 
-/// An answer without a length ends with its connection and is whole.
+/// A response without a length ends when its connection is closed, and is complete.
 #[tokio::test]
-async fn send_takes_an_answer_that_ends_with_its_connection() {
+async fn send_accepts_a_response_that_ends_with_its_connection() {
     let server =
         start(&[&["HTTP/1.1 200 OK\r\nx-id: ID\r\nx-sign: s\r\nconnection: close\r\n\r\ngood"]]);
     assert_eq!(body(send(&upstream(), &server, "1").await).await, "good");
 }
 
-/// A connection is used again after an answer and after a refusal, and a longer body passes
-/// on whole.
+/// A connection is reused after a response and after a refusal, and a body longer than the buffer
+/// limit is forwarded whole.
 #[tokio::test]
-async fn send_keeps_a_sound_connection() {
-    const SHED: &str =
+async fn send_reuses_a_healthy_connection() {
+    const NOT_RUN: &str =
         "HTTP/1.1 503 Full\r\nx-id: ID\r\nx-not-run: 1\r\nx-load: 12\r\ncontent-length: 0\r\n\r\n";
     const LONG: &str = "HTTP/1.1 200 OK\r\nx-id: ID\r\nx-sign: s\r\ncontent-length: 80\r\n\r\n\
         01234567890123456789012345678901234567890123456789012345678901234567890123456789";
-    let server = start(&[&[GOOD, SHED, LONG, GOOD]]);
+    let server = start(&[&[GOOD, NOT_RUN, LONG, GOOD]]);
     let upstream = upstream();
     assert_eq!(body(send(&upstream, &server, "1").await).await, "good");
-    let shed = send(&upstream, &server, "2").await;
+    let refused = send(&upstream, &server, "2").await;
     let Ok(Received::NotRun {
         misdirected, load, ..
-    }) = shed
+    }) = refused
     else {
         panic!("not refused");
     };
@@ -223,9 +223,10 @@
     assert_eq!(server.connections.load(Ordering::SeqCst), 1);
 }
 
-/// The upstream's address belongs to another instance now, which says so and runs nothing.
+/// The upstream's address now belongs to another instance, which rejects the request without
+/// running it.
 #[tokio::test]
-async fn send_tells_of_another_instance() {
+async fn send_reports_another_instance() {
     let server = start(&[&[
         "HTTP/1.1 421 Misdirected\r\nx-id: ID\r\nx-instance: i-2\r\ncontent-length: 0\r\n\r\n",
     ]]);
@@ -242,9 +243,9 @@
     assert_eq!(instance.as_deref(), Some("i-2"));
 }
 
-/// An upstream's own failure passes on as it came, signed or not.
+/// An error response of the upstream is forwarded unchanged, even without a signature header.
 #[tokio::test]
-async fn send_passes_on_a_failure() {
+async fn send_forwards_an_error_response() {
     let server = start(&[&["HTTP/1.1 500 Oh\r\nx-id: ID\r\ncontent-length: 3\r\n\r\nbad"]]);
     let Ok(Received::Answer(parts, _)) = send(&upstream(), &server, "1").await else {
         panic!("no answer");
