--- a/crates/node/src/body.rs
+++ b/crates/node/src/body.rs
@@ -1,4 +1,4 @@
-//! Answer bodies on their way back: passed on frame by frame, never held whole.
+//! Response bodies on their way to the caller: forwarded frame by frame, never buffered whole.
 
 use std::io;
 use std::pin::Pin;
@@ -10,41 +10,41 @@
 use mintridge_http::Body;
 use tokio::time::Sleep;
 
-/// Why a body was broken off by this node.
+/// Reason for which this node aborted a body.
 #[derive(Debug, thiserror::Error)]
-pub enum Broken {
-    /// No frame came for the time allowed.
-    #[error("the body did not move in time")]
-    Idle,
+pub enum Error {
+    /// No frame arrived within the idle timeout.
+    #[error("no part of the body arrived within the idle timeout")]
+    IdleTimeout,
 }
 
-/// A body with something that lives as long as it is being read.
+/// A body that owns a guard value for as long as it is being read.
 pub struct Held<T> {
     body: Body,
-    kept: Option<T>,
-    idle: Duration,
-    idle_until: Pin<Box<Sleep>>,
+    guard: Option<T>,
+    idle_timeout: Duration,
+    idle_timer: Pin<Box<Sleep>>,
 }
 
 impl<T> Held<T> {
-    /// Holds `kept` until the body ends, breaks, or its reader goes away.
+    /// Creates a body that drops `guard` when it ends, fails, or is dropped by its reader.
     ///
-    /// Failure: the sender of a body falls silent. Symptom: its reader waits for good
-    /// and a slot stays taken. After `idle` without a frame the body breaks off, which
-    /// hyper shows to the reader as a broken message, never as a short whole one.
+    /// Failure: the sender of a body stops sending without closing the connection. Symptom: the
+    /// reader waits forever and a slot stays occupied. The body fails after `idle_timeout` without
+    /// a frame; hyper then aborts the message, so the reader cannot mistake it for a complete one.
     #[must_use]
-    pub fn new(body: Body, kept: T, idle: Duration) -> Self {
+    pub fn new(body: Body, guard: T, idle_timeout: Duration) -> Self {
         Self {
             body,
-            kept: Some(kept),
-            idle,
-            idle_until: Box::pin(tokio::time::sleep(idle)),
+            guard: Some(guard),
+            idle_timeout,
+            idle_timer: Box::pin(tokio::time::sleep(idle_timeout)),
         }
     }
 
-    fn moved(&mut self) {
-        let until = Instant::now() + self.idle;
-        self.idle_until.as_mut().reset(until.into());
+    fn reset_idle_timer(&mut self) {
+        let until = Instant::now() + self.idle_timeout;
+        self.idle_timer.as_mut().reset(until.into());
     }
 }
 
@@ -58,12 +58,12 @@
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let polled = Pin::new(&mut self.body).poll_frame(cx);
         match &polled {
-            Poll::Ready(Some(Ok(_))) => self.moved(),
-            Poll::Ready(None | Some(Err(_))) => self.kept = None,
+            Poll::Ready(Some(Ok(_))) => self.reset_idle_timer(),
+            Poll::Ready(None | Some(Err(_))) => self.guard = None,
             Poll::Pending => {
-                if self.idle_until.as_mut().poll(cx).is_ready() {
-                    self.kept = None;
-                    return Poll::Ready(Some(Err(io::Error::other(Broken::Idle))));
+                if self.idle_timer.as_mut().poll(cx).is_ready() {
+                    self.guard = None;
+                    return Poll::Ready(Some(Err(io::Error::other(Error::IdleTimeout))));
                 }
             }
         }
--- a/crates/node/src/packed.rs
+++ b/crates/node/src/packed.rs
@@ -1,8 +1,9 @@
-//! Documents as they travel between nodes: compressed.
+//! Compression of documents that are sent between nodes.
 //!
-//! Routes resemble each other, so a routing table of 1,940 routes shrinks from 370 KB to
-//! 30 KB, which takes 24 ms instead of 300 ms over a link of 10 Mbit/s. A node passes on what
-//! it received and compresses only what it read from the store.
+//! Routes resemble each other, so a routing table of 1,940 routes shrinks from 370 KB to 30 KB,
+//! which takes 24 ms instead of 300 ms over a link of 10 Mbit/s. A node forwards documents in the
+//! compressed form in which it received them, and compresses only those that it read from the
+//! store.
 
 use std::io::{self, Read};
 use std::sync::Arc;
@@ -10,44 +11,44 @@
 use flate2::Compression;
 use flate2::read::{ZlibDecoder, ZlibEncoder};
 
-/// Bytes that a document may have: four times the largest value that a store holds.
-pub const DOCUMENT_MOST: usize = 4 * 1024 * 1024;
+/// Size limit of an uncompressed document: four times the largest value that a store holds.
+pub const MAX_DOCUMENT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why a document was not unpacked.
+/// Failure to unpack a document.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It is not a compressed document.
+    /// The input is not a compressed document, or is truncated.
     #[error("not a compressed document: {0}")]
     Malformed(#[from] io::Error),
-    /// It is longer than a document may be.
-    #[error("longer than {DOCUMENT_MOST} bytes")]
+    /// The uncompressed document exceeds [`MAX_DOCUMENT_BYTES`].
+    #[error("longer than {MAX_DOCUMENT_BYTES} bytes")]
     TooLong,
 }
 
-/// Compresses a document, quickly rather than well.
+/// Compresses a document, favoring speed over size.
 ///
 /// # Errors
-/// If memory does not take it, which does not happen.
+/// Never in practice: input and output are in memory.
 pub fn pack(document: &[u8]) -> Result<Arc<[u8]>, Error> {
     let mut packed = Vec::new();
     ZlibEncoder::new(document, Compression::fast()).read_to_end(&mut packed)?;
     Ok(Arc::from(packed))
 }
 
-/// Unpacks a document.
+/// Decompresses a document.
 ///
-/// Failure: a few bytes of a faulty peer unpack to gigabytes. Symptom: the node exceeds its
-/// memory and is ended. Unpacking stops at the limit.
+/// Failure: a few bytes from a faulty peer decompress to gigabytes. Symptom: the node exceeds its
+/// memory limit and is killed. Decompression therefore stops at the size limit.
 ///
 /// # Errors
-/// If it is not a compressed document, or too long.
+/// If the input is not a compressed document, or the document is too long.
 pub fn unpack(packed: &[u8]) -> Result<Vec<u8>, Error> {
-    let limit = DOCUMENT_MOST as u64 + 1;
+    let limit = MAX_DOCUMENT_BYTES as u64 + 1;
     let mut document = Vec::new();
     ZlibDecoder::new(packed)
         .take(limit)
         .read_to_end(&mut document)?;
-    if document.len() > DOCUMENT_MOST {
+    if document.len() > MAX_DOCUMENT_BYTES {
         return Err(Error::TooLong);
     }
     Ok(document)
--- a/crates/node/src/replay.rs
+++ b/crates/node/src/replay.rs
@@ -1,7 +1,7 @@
-//! A request body that can be sent a second time while little of it was taken.
+//! A request body that can be sent again as long as only a little of it has been read.
 //!
-//! The node beside the upstream takes little of a body before it hands the
-//! request over, so whenever it refuses, what was taken is still held here.
+//! The node beside the upstream reads only a little of a body before it sends the request to the
+//! upstream. When it refuses a request, the part that was read is therefore still buffered here.
 
 use std::io;
 use std::pin::Pin;
@@ -13,37 +13,40 @@
 use mintridge_http::Body;
 use parking_lot::Mutex;
 
-/// A later attempt sends the body.
+/// Error that ends the body of an attempt that was superseded.
 #[derive(Debug, thiserror::Error)]
-#[error("a later attempt sends the body")]
-struct Replaced;
+#[error("superseded by a later attempt")]
+struct Superseded;
 
-/// The caller's body and what was taken of it so far.
+/// The caller's body and a buffer of the part that was read.
 ///
-/// Attempts that were replaced by a later one break off when this is dropped.
+/// Dropping it fails the bodies of superseded attempts.
 pub struct Source {
     shared: Arc<Mutex<Shared>>,
 }
 
 struct Shared {
     body: Body,
-    taken: Vec<Bytes>,
-    taken_bytes: usize,
-    most: usize,
-    overflown: bool,
+    /// Data frames to send again.
+    buffered: Vec<Bytes>,
+    /// Bytes read from the body, counted until the limit is exceeded.
+    read_bytes: usize,
+    max_bytes: usize,
+    /// Whether the body cannot be sent again: too much of it was read, or reading it failed.
+    unreplayable: bool,
     ended: bool,
     /// Number of the latest attempt.
     attempt: u32,
-    /// The request is over.
+    /// Whether the request has ended.
     released: bool,
-    /// Attempts that wait for the end of the request.
+    /// Superseded attempts that wait for the end of the request.
     stalled: Vec<Waker>,
 }
 
 /// The body as one attempt sends it.
 ///
-/// Only the latest attempt takes of the caller's body. An earlier one stalls and does not break
-/// off: its upstream may have answered already, and that answer may still go to the caller.
+/// Only the latest attempt reads from the caller's body. An earlier one stalls instead of failing,
+/// because its upstream may already have responded, and that response may still go to the caller.
 pub struct Replay {
     shared: Arc<Mutex<Shared>>,
     attempt: u32,
@@ -51,17 +54,17 @@
 }
 
 impl Source {
-    /// Holds at most `most` bytes for a second attempt.
+    /// Buffers at most `max_bytes` for a further attempt.
     #[must_use]
-    pub fn new(body: Body, most: usize) -> Self {
+    pub fn new(body: Body, max_bytes: usize) -> Self {
         let ended = body.is_end_stream();
         Self {
             shared: Arc::new(Mutex::new(Shared {
                 body,
-                taken: Vec::new(),
-                taken_bytes: 0,
-                most,
-                overflown: false,
+                buffered: Vec::new(),
+                read_bytes: 0,
+                max_bytes,
+                unreplayable: false,
                 ended,
                 attempt: 0,
                 released: false,
@@ -70,21 +73,22 @@
         }
     }
 
-    /// Whether the body may be longer than this.
+    /// Returns whether the body may be longer than `bytes`.
     #[must_use]
     pub fn may_exceed(&self, bytes: usize) -> bool {
         let shared = self.shared.lock();
-        let to_come = shared.body.size_hint().upper();
-        let taken = shared.taken_bytes;
-        let to_come = to_come.and_then(|to_come| usize::try_from(to_come).ok());
-        to_come.is_none_or(|to_come| taken.saturating_add(to_come) > bytes)
+        let remaining = shared.body.size_hint().upper();
+        let read = shared.read_bytes;
+        let remaining = remaining.and_then(|remaining| usize::try_from(remaining).ok());
+        remaining.is_none_or(|remaining| read.saturating_add(remaining) > bytes)
     }
 
-    /// The body from its beginning; `None` if too much of it was taken to send it again.
+    /// Starts a new attempt with the body from its beginning; `None` if too much of it was read to
+    /// send it again, or reading it failed.
     #[must_use]
     pub fn replay(&self) -> Option<Replay> {
         let mut shared = self.shared.lock();
-        if shared.overflown {
+        if shared.unreplayable {
             return None;
         }
         shared.attempt += 1;
@@ -117,7 +121,7 @@
         if self.attempt != shared.attempt {
             return shared.stall(cx);
         }
-        if let Some(data) = shared.taken.get(self.sent) {
+        if let Some(data) = shared.buffered.get(self.sent) {
             let data = data.clone();
             self.sent += 1;
             return Poll::Ready(Some(Ok(Frame::data(data))));
@@ -129,12 +133,12 @@
         match &polled {
             Poll::Ready(Some(Ok(frame))) => {
                 if let Some(data) = frame.data_ref() {
-                    shared.keep(data);
-                    self.sent = shared.taken.len();
+                    shared.buffer(data);
+                    self.sent = shared.buffered.len();
                 }
             }
             Poll::Ready(None) => shared.ended = true,
-            Poll::Ready(Some(Err(_))) => shared.overflown = true,
+            Poll::Ready(Some(Err(_))) => shared.unreplayable = true,
             Poll::Pending => {}
         }
         polled
@@ -142,12 +146,12 @@
 
     fn is_end_stream(&self) -> bool {
         let shared = self.shared.lock();
-        self.attempt == shared.attempt && self.sent == shared.taken.len() && shared.ended
+        self.attempt == shared.attempt && self.sent == shared.buffered.len() && shared.ended
     }
 
     fn size_hint(&self) -> SizeHint {
         let shared = self.shared.lock();
-        if self.sent == 0 && shared.taken.is_empty() {
+        if self.sent == 0 && shared.buffered.is_empty() {
             return shared.body.size_hint();
         }
         SizeHint::default()
@@ -155,10 +159,10 @@
 }
 
 impl Shared {
-    /// Holds a replaced attempt until the request is over, then breaks it off.
+    /// Leaves a superseded attempt pending until the request ends, then fails it.
     fn stall<T>(&mut self, cx: &Context<'_>) -> Poll<Option<Result<T, io::Error>>> {
         if self.released {
-            return Poll::Ready(Some(Err(io::Error::other(Replaced))));
+            return Poll::Ready(Some(Err(io::Error::other(Superseded))));
         }
         if !self.stalled.iter().any(|waker| waker.will_wake(cx.waker())) {
             self.stalled.push(cx.waker().clone());
@@ -166,18 +170,18 @@
         Poll::Pending
     }
 
-    /// Keeps what was taken until it is too much; from then on nothing is kept, and the
-    /// attempt that took it is the last.
-    fn keep(&mut self, data: &Bytes) {
-        if self.overflown {
+    /// Buffers data up to the limit. Beyond it the buffer is discarded, and the current attempt is
+    /// the last one.
+    fn buffer(&mut self, data: &Bytes) {
+        if self.unreplayable {
             return;
         }
-        self.taken_bytes += data.len();
-        if self.taken_bytes > self.most {
-            self.overflown = true;
-            self.taken = Vec::new();
+        self.read_bytes += data.len();
+        if self.read_bytes > self.max_bytes {
+            self.unreplayable = true;
+            self.buffered = Vec::new();
             return;
         }
-        self.taken.push(data.clone());
+        self.buffered.push(data.clone());
     }
 }
--- a/crates/node/tests/packed.rs
+++ b/crates/node/tests/packed.rs
@@ -1,10 +1,10 @@
-//! Documents as they travel between nodes.
+//! Compression of documents that are sent between nodes.
 
 use std::fmt::Write;
 
-use mintridge_node::packed::{DOCUMENT_MOST, Error, pack, unpack};
+use mintridge_node::packed::{Error, MAX_DOCUMENT_BYTES, pack, unpack};
 
-/// A document of many routes with names and paths that have nothing in common.
+/// A document of `count` routes with unrelated names and paths.
 fn routes(count: u32) -> String {
     let mut document = String::from("[");
     for index in 0..count {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn unpack_gives_back_what_was_packed() {
+fn unpack_restores_the_document() {
     let document = routes(1_940);
     let packed = pack(document.as_bytes()).expect("it packs");
     assert!(packed.len() * 4 < document.len(), "{}", packed.len());
@@ -28,17 +28,17 @@
 }
 
 #[test]
-fn unpack_refuses_what_was_cut_short() {
+fn unpack_rejects_a_truncated_document() {
     let packed = pack(routes(100).as_bytes()).expect("it packs");
-    let cut = unpack(&packed[..packed.len() / 2]);
-    assert!(matches!(cut, Err(Error::Malformed(_))), "{cut:?}");
+    let result = unpack(&packed[..packed.len() / 2]);
+    assert!(matches!(result, Err(Error::Malformed(_))), "{result:?}");
 }
 
-/// A faulty peer sends a few kilobytes that unpack to more than any document has: the node
-/// stops at the limit, long before its memory is full.
+/// Guards against exhausting the node's memory when a faulty peer sends a few kilobytes that
+/// decompress to far more than the size limit of a document.
 #[test]
 fn unpack_stops_at_the_limit() {
-    let packed = pack(&vec![0; DOCUMENT_MOST + 1]).expect("it packs");
-    let refused = unpack(&packed);
-    assert!(matches!(refused, Err(Error::TooLong)), "{refused:?}");
+    let packed = pack(&vec![0; MAX_DOCUMENT_BYTES + 1]).expect("it packs");
+    let result = unpack(&packed);
+    assert!(matches!(result, Err(Error::TooLong)), "{result:?}");
 }
--- a/crates/node/tests/replay.rs
+++ b/crates/node/tests/replay.rs
@@ -1,4 +1,4 @@
-//! A body that is sent a second time.
+//! Sending a request body again in a further attempt.
 
 use std::io;
 use std::pin::Pin;
@@ -9,12 +9,12 @@
 use mintridge_http::Body;
 use mintridge_node::replay::{Replay, Source};
 
-const FRAME: usize = 4 * 1024;
+const FRAME_BYTES: usize = 4 * 1024;
 const FRAMES: u8 = 40;
-/// Kept for a second attempt: a part of the body.
-const KEPT: usize = 16 * FRAME;
+/// Bytes buffered for a further attempt; less than the whole body.
+const BUFFER_BYTES: usize = 16 * FRAME_BYTES;
 
-/// Frames that each hold their own number.
+/// A body of frames that are filled with their own number.
 struct Numbered(u8);
 
 impl HttpBody for Numbered {
@@ -28,13 +28,14 @@
         if self.0 == FRAMES {
             return Poll::Ready(None);
         }
-        let frame = Frame::data(Bytes::from(vec![self.0; FRAME]));
+        let frame = Frame::data(Bytes::from(vec![self.0; FRAME_BYTES]));
         self.0 += 1;
         Poll::Ready(Some(Ok(frame)))
     }
 }
 
-/// Number of the next frame; `None` at the end, or where there is no more for this attempt.
+/// Returns the number of the next frame; `None` if the body has ended or the attempt was
+/// superseded.
 fn next(replay: &mut Replay) -> Option<u8> {
     let mut cx = Context::from_waker(Waker::noop());
     match Pin::new(replay).poll_frame(&mut cx) {
@@ -43,18 +44,18 @@
     }
 }
 
-/// A host refuses an upload, and the entry sends it to another. The connection to the first has not
-/// heard of it yet and goes on taking of the body, until more was taken than is kept. The upstream
-/// of the second got a body with a part missing; the rest came where that part was due. An attempt
-/// takes nothing once the next has begun.
+/// Guards against a body with a missing part. A host refuses an upload, and the entry sends it to
+/// another host. The connection to the first host has not processed the refusal and reads on from
+/// the body, beyond the buffer limit. The second upstream then received a body without that part.
+/// An attempt must read nothing once the next one has started.
 #[test]
-fn replay_of_an_earlier_attempt_takes_nothing_more() {
-    let source = Source::new(Body::new(Numbered(0)), KEPT);
-    let mut first = source.replay().expect("nothing was taken");
+fn superseded_attempt_reads_no_more_of_the_body() {
+    let source = Source::new(Body::new(Numbered(0)), BUFFER_BYTES);
+    let mut first = source.replay().expect("nothing was read");
     for _ in 0..4 {
         next(&mut first);
     }
-    let mut second = source.replay().expect("little was taken");
+    let mut second = source.replay().expect("little was read");
     assert_eq!(next(&mut second), Some(0));
     while next(&mut first).is_some() {}
     let rest: Vec<u8> = std::iter::from_fn(|| next(&mut second)).collect();
--- a/crates/node/tests/streams.rs
+++ b/crates/node/tests/streams.rs
@@ -1,5 +1,5 @@
-//! Large bodies pass without being held: memory stays flat, and a slow reader slows only
-//! itself.
+//! Large bodies are streamed without being buffered: memory stays flat, and a slow reader delays no
+//! other caller.
 
 mod common;
 
@@ -14,11 +14,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-const LARGE: usize = 100_000_000;
-/// Far below the body, far above what windows and allocators take.
-const GROWTH_MOST: u64 = 40_000_000;
+const LARGE_BODY_BYTES: usize = 100_000_000;
+/// Far below the size of the body, far above what flow control windows and allocators need.
+const MAX_GROWTH_BYTES: u64 = 40_000_000;
 
-fn memory(scene: &Scene) -> u64 {
+fn resident_bytes(scene: &Scene) -> u64 {
     let processes = (0..scene.hosts.len()).map(|index| scene.process(index).id());
     processes.map(resident).sum()
 }
@@ -26,9 +26,9 @@
 #[tokio::test]
 async fn download_leaves_memory_flat() {
     let scene = processes(hosts(2)).await;
-    let before = memory(&scene);
+    let before = resident_bytes(&scene);
     let call = Call {
-        path: format!("/bytes/{LARGE}"),
+        path: format!("/bytes/{LARGE_BODY_BYTES}"),
         timeout: Duration::from_mins(1),
         ..get("download")
     };
@@ -36,19 +36,19 @@
         let Told::Answer { body, .. } = scene.call(entry, &call).await else {
             panic!("no answer");
         };
-        assert_eq!(body.len(), LARGE);
+        assert_eq!(body.len(), LARGE_BODY_BYTES);
     }
-    let grown = memory(&scene).saturating_sub(before);
-    assert!(grown < GROWTH_MOST, "grown by {grown} bytes");
+    let grown = resident_bytes(&scene).saturating_sub(before);
+    assert!(grown < MAX_GROWTH_BYTES, "grown by {grown} bytes");
 }
 
 #[tokio::test]
 async fn upload_leaves_memory_flat() {
     let scene = processes(hosts(2)).await;
-    let before = memory(&scene);
+    let before = resident_bytes(&scene);
     for entry in 0..2 {
         let call = Call {
-            body: Bytes::from(vec![7; LARGE]),
+            body: Bytes::from(vec![7; LARGE_BODY_BYTES]),
             timeout: Duration::from_mins(1),
             ..post(&format!("upload-{entry}"), &format!("key-{entry}"))
         };
@@ -56,23 +56,23 @@
             panic!("no answer");
         };
         let answer = Answer::parse(&body).expect("an answer of the stand-in");
-        assert_eq!(answer.body_bytes, LARGE as u64);
+        assert_eq!(answer.body_bytes, LARGE_BODY_BYTES as u64);
     }
-    let grown = memory(&scene).saturating_sub(before);
-    assert!(grown < GROWTH_MOST, "grown by {grown} bytes");
+    let grown = resident_bytes(&scene).saturating_sub(before);
+    assert!(grown < MAX_GROWTH_BYTES, "grown by {grown} bytes");
 }
 
-/// A caller asks for a large body and reads a little of it: nothing is held for it beyond
-/// the windows, and others are served meanwhile.
+/// A caller requests a large body and reads only a little of it: the nodes buffer no more than the
+/// flow control windows, and other callers are served meanwhile.
 #[tokio::test]
-async fn slow_reader_slows_only_itself() {
+async fn slow_reader_delays_no_other_caller() {
     let scene = processes(hosts(2)).await;
-    let before = memory(&scene);
+    let before = resident_bytes(&scene);
     let mut slow = TcpStream::connect(scene.addresses(0).callers)
         .await
         .expect("connects");
     let request = format!(
-        "GET /bytes/{LARGE} HTTP/1.1\r\nhost: service\r\nmintridge-timeout-ms: 60000\r\n\r\n"
+        "GET /bytes/{LARGE_BODY_BYTES} HTTP/1.1\r\nhost: service\r\nmintridge-timeout-ms: 60000\r\n\r\n"
     );
     slow.write_all(request.as_bytes()).await.expect("sent");
     let mut some = vec![0; 10_000];
@@ -86,14 +86,14 @@
         );
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let grown = memory(&scene).saturating_sub(before);
-    assert!(grown < GROWTH_MOST, "grown by {grown} bytes");
+    let grown = resident_bytes(&scene).saturating_sub(before);
+    assert!(grown < MAX_GROWTH_BYTES, "grown by {grown} bytes");
 }
 
-/// A node refuses a request at once, before it has read any of its large body. Its caller is still
-/// sending; it gets the refusal and not a connection that ends without a word.
+/// Guards against a refusal that is lost because the connection is closed while the caller still
+/// sends: the node refuses the request before it has read any of its large body.
 #[tokio::test]
-async fn refusal_of_a_body_that_nobody_read_reaches_its_caller() {
+async fn refusal_before_the_body_is_read_reaches_the_caller() {
     let scene = processes(hosts(1)).await;
     for n in 0..200 {
         let call = Call {
@@ -101,7 +101,7 @@
             body: Bytes::from(vec![0; 40_000]),
             ..bare_post(&format!("refused-{n}"))
         };
-        let told = scene.call(0, &call).await;
-        assert!(told.is_not_run(), "{n}: {told:?}");
+        let reply = scene.call(0, &call).await;
+        assert!(reply.is_not_run(), "{n}: {reply:?}");
     }
 }
