--- a/crates/try/src/main.rs
+++ b/crates/try/src/main.rs
@@ -1,5 +1,5 @@
-//! `mintridge-try`: the whole path on loopback with stand-ins, in one process, over real
-//! HTTP. Prints what callers were told and exits non-zero if a promise was broken.
+//! `mintridge-try`: runs nodes, upstreams and the store as stand-ins in one process and sends load
+//! through them over HTTP on loopback. Prints a report and exits non-zero if a promise was broken.
 
 use std::collections::HashMap;
 use std::process::ExitCode;
@@ -11,15 +11,15 @@
 use mintridge_standin::scene::{Plan, Scene};
 use mintridge_standin::upstream::{Behaviour, Result as Answer};
 
-/// Requests a second over all nodes.
-const RATE: f64 = 400.0;
+/// Requests per second over all nodes.
+const REQUESTS_PER_SECOND: f64 = 400.0;
 const SECONDS: u64 = 5;
-const SERVERS: usize = 9;
+const FIELD_SERVICE_HOSTS: usize = 9;
 
 #[tokio::main]
 async fn main() -> ExitCode {
     let plan = Plan {
-        services: vec![("field-service", SERVERS), ("parts", 3)],
+        services: vec![("field-service", FIELD_SERVICE_HOSTS), ("parts", 3)],
         behaviour: Behaviour {
             service_micros: 5_000,
             ..Behaviour::default()
@@ -34,21 +34,21 @@
             return ExitCode::FAILURE;
         }
     };
-    let straight = straight(&scene).await;
+    let straight = run_direct(&scene).await;
     println!("\nstraight to the upstreams of field-service\n{straight}");
-    let mut account = Account::default();
-    let through = through(&scene, &mut account).await;
+    let mut replies = ReplyLog::default();
+    let through = run_through_nodes(&scene, &mut replies).await;
     println!("through mintridge, two nodes in the path\n{through}");
-    added(&straight, &through);
-    account.check(&scene)
+    print_added_latency(&straight, &through);
+    replies.check(&scene)
 }
 
-/// The same load without mintridge, each upstream in turn.
-async fn straight(scene: &Scene) -> Report {
-    let upstreams = scene.hosts.iter().take(SERVERS);
+/// Sends the same load without mintridge, round robin over the upstreams.
+async fn run_direct(scene: &Scene) -> Report {
+    let upstreams = scene.hosts.iter().take(FIELD_SERVICE_HOSTS);
     let load = Load {
         targets: upstreams.map(|host| host.upstream_address).collect(),
-        rate: RATE,
+        rate: REQUESTS_PER_SECOND,
         duration: Duration::from_secs(SECONDS),
         run: String::from("straight"),
         ..Load::default()
@@ -56,10 +56,10 @@
     load::run(&load, |_| {}).await
 }
 
-async fn through(scene: &Scene, account: &mut Account) -> Report {
+async fn run_through_nodes(scene: &Scene, replies: &mut ReplyLog) -> Report {
     let load = Load {
         targets: scene.entries(),
-        rate: RATE,
+        rate: REQUESTS_PER_SECOND,
         duration: Duration::from_secs(SECONDS),
         services: vec![
             (String::from("field-service"), 0.8),
@@ -69,54 +69,58 @@
         run: String::from("through"),
         ..Load::default()
     };
-    load::run(&load, |record| account.note(record)).await
+    load::run(&load, |record| replies.record(record)).await
 }
 
-fn added(straight: &Report, through: &Report) {
+fn print_added_latency(straight: &Report, through: &Report) {
     println!("added latency (unrepeatable requests include their claim in the store)");
     for (name, percent) in [("p50", 50.0), ("p90", 90.0), ("p99", 99.0)] {
-        let before = straight.percentile(percent).as_secs_f64() * 1e3;
-        let after = through.percentile(percent).as_secs_f64() * 1e3;
-        println!("  {name:<28} {:>9.2} ms", after - before);
+        let direct = straight.percentile(percent).as_secs_f64() * 1e3;
+        let proxied = through.percentile(percent).as_secs_f64() * 1e3;
+        println!("  {name:<28} {:>9.2} ms", proxied - direct);
     }
 }
 
-/// What callers were told, to be checked against what ran.
+/// Replies that callers received, to be checked against the runs that the upstreams counted.
 #[derive(Default)]
-struct Account {
-    told: HashMap<String, Told>,
+struct ReplyLog {
+    replies: HashMap<String, Told>,
     unrepeatable: Vec<String>,
 }
 
-impl Account {
-    fn note(&mut self, record: &Record) {
+impl ReplyLog {
+    fn record(&mut self, record: &Record) {
         let id = record.call.id.clone();
         if record.call.key.is_some() {
             self.unrepeatable.push(id.clone());
         }
-        self.told.insert(id, record.heard.told.clone());
+        self.replies.insert(id, record.heard.told.clone());
     }
 
     fn check(&self, scene: &Scene) -> ExitCode {
-        let not_run = self.told.iter().filter(|(_, told)| told.is_not_run());
-        let lied = not_run.filter(|(id, _)| scene.runs(id) > 0).count();
-        let twice = self
+        let not_run = self.replies.iter().filter(|(_, reply)| reply.is_not_run());
+        let false_not_run = not_run.filter(|(id, _)| scene.runs(id) > 0).count();
+        let run_twice = self
             .unrepeatable
             .iter()
             .filter(|id| scene.runs(id) > 1)
             .count();
         let foreign = self
-            .told
+            .replies
             .iter()
-            .filter(|(id, told)| is_foreign(id, told))
+            .filter(|(id, reply)| is_foreign(id, reply))
+            .count();
+        let broken = self
+            .replies
+            .values()
+            .filter(|reply| is_broken(reply))
             .count();
-        let broken = self.told.values().filter(|told| is_broken(told)).count();
         println!("\npromises");
-        println!("  told 'not run' but ran       {lied:>9}");
-        println!("  unrepeatable, ran twice      {twice:>9}");
+        println!("  told 'not run' but ran       {false_not_run:>9}");
+        println!("  unrepeatable, ran twice      {run_twice:>9}");
         println!("  somebody else's answer       {foreign:>9}");
         println!("  broken or unanswered         {broken:>9}");
-        if lied + twice + foreign + broken == 0 {
+        if false_not_run + run_twice + foreign + broken == 0 {
             return ExitCode::SUCCESS;
         }
         eprintln!("a promise was broken");
@@ -124,17 +128,17 @@
     }
 }
 
-/// Whether the answer was made for another request.
-fn is_foreign(id: &str, told: &Told) -> bool {
-    let Told::Answer { body, .. } = told else {
+/// Whether the response belongs to another request.
+fn is_foreign(id: &str, reply: &Told) -> bool {
+    let Told::Answer { body, .. } = reply else {
         return false;
     };
     Answer::parse(body).is_none_or(|answer| answer.id != id)
 }
 
-const fn is_broken(told: &Told) -> bool {
+const fn is_broken(reply: &Told) -> bool {
     matches!(
-        told,
+        reply,
         Told::NoConnection | Told::Broken { .. } | Told::Silence
     )
 }
