--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller as services have it: sends one request, and says what it was told.
+//! A caller as in a real service: sends a request and classifies the reply.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,31 +13,31 @@
 use mintridge_core::outcome::{Outcome, Reason};
 use mintridge_http::problem;
 
-/// Header by which upstreams of trials account for requests.
+/// Header with the request id, by which stand-in upstreams count the runs of each request.
 pub const REQUEST_ID: &str = "x-request-id";
-/// Header that names the upstream that answered.
+/// Header with the name of the upstream that served the request.
 pub const SERVER: &str = "x-server";
-/// How long after its deadline a caller still listens.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// How long a caller still waits for a reply after the deadline of its request.
+const REPLY_GRACE: Duration = Duration::from_secs(5);
 
 /// One request.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Service asked for.
+    /// Requested service.
     pub service: String,
-    /// Client account on whose behalf.
+    /// Client account on whose behalf the request is made.
     pub client_account: String,
-    /// Method; POST is unrepeatable.
+    /// Method; a POST request is unrepeatable.
     pub method: Method,
-    /// Path.
+    /// Request path.
     pub path: String,
-    /// Number of the request, for the account.
+    /// Request id, by which upstreams count its runs.
     pub id: String,
-    /// Idempotency key, if it has one.
+    /// Idempotency key, if any.
     pub key: Option<String>,
-    /// Time allowed.
+    /// Request timeout, from which its deadline follows.
     pub timeout: Duration,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
@@ -56,48 +56,48 @@
     }
 }
 
-/// What a caller was told.
+/// Outcome of a request as its caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Told {
-    /// The upstream's answer, whole.
+    /// A complete response of the upstream.
     Answer {
-        /// Its status.
+        /// Response status.
         status: StatusCode,
-        /// The upstream that answered.
+        /// Name of the upstream that served the request.
         host: String,
-        /// Its body.
+        /// Response body.
         body: Bytes,
     },
-    /// A refusal.
+    /// The request was refused by a node.
     Refused {
-        /// Its status.
+        /// Response status.
         status: StatusCode,
-        /// Whether the request may have had an effect.
+        /// Whether the request may have run.
         outcome: Outcome,
-        /// Why.
+        /// Reason of the refusal.
         reason: Reason,
-        /// When to come back, in seconds.
+        /// Value of `Retry-After`, in seconds.
         retry_after: Option<u64>,
     },
-    /// No connection could be opened, so nothing was sent.
+    /// Connecting failed, so nothing was sent.
     NoConnection,
-    /// The answer visibly broke, or there was none.
+    /// The request failed, or its response broke off before it was complete.
     Broken {
-        /// Whether its head arrived.
+        /// Whether the response head arrived.
         begun: bool,
     },
-    /// Nothing came, long after the deadline.
+    /// No complete response arrived, even some seconds after the deadline.
     Silence,
 }
 
 impl Told {
-    /// Whether the upstream answered with success.
+    /// Whether the upstream responded with a success status.
     #[must_use]
     pub fn is_success(&self) -> bool {
         matches!(self, Self::Answer { status, .. } if status.is_success())
     }
 
-    /// Whether it was said that the request did not run.
+    /// Whether the refusal states that the request did not run.
     #[must_use]
     pub const fn is_not_run(&self) -> bool {
         matches!(
@@ -109,7 +109,7 @@
         )
     }
 
-    /// Whether it was said that the request may have run.
+    /// Whether the refusal states that the request may have run.
     #[must_use]
     pub const fn is_unknown(&self) -> bool {
         matches!(
@@ -122,18 +122,18 @@
     }
 }
 
-/// What was told, and how long the first byte of it and all of it took.
+/// The outcome of a request and how long its response took.
 #[derive(Clone, Debug)]
-pub struct Heard {
-    /// What was told.
+pub struct TimedReply {
+    /// Outcome of the request.
     pub told: Told,
-    /// Time until the head of the answer.
-    pub head_took: Duration,
-    /// Time until its end.
+    /// Time until the response head arrived, or until the end if none did.
+    pub time_to_head: Duration,
+    /// Time until the response was complete or the request failed.
     pub took: Duration,
 }
 
-/// A caller with its pool of connections.
+/// A caller with a connection pool.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -153,28 +153,29 @@
 }
 
 impl Caller {
-    /// Sends one request to a node, or straight to an upstream.
-    pub async fn call(&self, address: SocketAddr, call: &Call) -> Heard {
-        let began = Instant::now();
-        let patience = call.timeout + PATIENCE;
-        let mut head_took = None;
+    /// Sends one request to a node, or directly to an upstream.
+    pub async fn call(&self, address: SocketAddr, call: &Call) -> TimedReply {
+        let started_at = Instant::now();
+        let reply_timeout = call.timeout + REPLY_GRACE;
+        let mut time_to_head = None;
         let told = tokio::time::timeout(
-            patience,
+            reply_timeout,
             self.exchange(address, call, |now| {
-                head_took = Some(now.duration_since(began));
+                time_to_head = Some(now.duration_since(started_at));
             }),
         )
         .await
         .unwrap_or(Told::Silence);
-        let took = began.elapsed();
-        Heard {
+        let took = started_at.elapsed();
+        TimedReply {
             told,
-            head_took: head_took.unwrap_or(took),
+            time_to_head: time_to_head.unwrap_or(took),
             took,
         }
     }
 
-    /// Sends one request with further headers, and returns the head of what comes back.
+    /// Sends one request with additional headers and returns the response once its head arrives;
+    /// `None` if a header is invalid or the request fails.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -192,7 +193,7 @@
         &self,
         address: SocketAddr,
         call: &Call,
-        head_came: impl FnOnce(Instant),
+        on_head: impl FnOnce(Instant),
     ) -> Told {
         let Some(request) = request(address, call) else {
             return Told::Broken { begun: false };
@@ -202,7 +203,7 @@
             Err(error) if error.is_connect() => return Told::NoConnection,
             Err(_) => return Told::Broken { begun: false },
         };
-        head_came(Instant::now());
+        on_head(Instant::now());
         read(response).await
     }
 }
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,4 +1,5 @@
-//! Open-loop load: requests leave on a schedule that a stalled system does not slow.
+//! Open-loop load: requests are sent on a schedule that doesn't depend on responses, so a stalled
+//! system doesn't slow it.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -8,34 +9,34 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::sync::mpsc;
 
-use crate::caller::{Call, Caller, Heard};
+use crate::caller::{Call, Caller, TimedReply};
 use crate::report::Report;
 
-/// Answers that may wait to be counted.
-const COUNTING_RING: usize = 65_536;
+/// Capacity of the queue of finished requests that await counting.
+const RECORD_QUEUE_CAPACITY: usize = 65_536;
 
-/// What to send, to whom, how fast.
+/// Targets, rate and mix of the load.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Nodes, or upstreams, that take the requests in turn.
+    /// Addresses of nodes or upstreams, used in round robin order.
     pub targets: Vec<SocketAddr>,
-    /// Requests a second over all targets.
+    /// Requests per second over all targets.
     pub rate: f64,
-    /// How long to send.
+    /// How long to send requests.
     pub duration: Duration,
     /// Services and the share of requests for each.
     pub services: Vec<(String, f64)>,
-    /// Client accounts and the share of requests of each.
+    /// Client accounts and the share of requests for each.
     pub client_accounts: Vec<(String, f64)>,
     /// Share of unrepeatable requests, each with its own idempotency key.
     pub unrepeatable: f64,
-    /// Time allowed to each.
+    /// Timeout of each request.
     pub timeout: Duration,
-    /// Path asked for.
+    /// Request path.
     pub path: String,
-    /// Seed of the schedule and the mix.
+    /// Seed of the random schedule and mix.
     pub seed: u64,
-    /// Begins every request's id, so that runs differ.
+    /// Prefix of every request id, which keeps the ids of different runs apart.
     pub run: String,
 }
 
@@ -56,24 +57,24 @@
     }
 }
 
-/// One request with what its caller was told.
+/// A request with its outcome and latency.
 #[derive(Clone, Debug)]
 pub struct Record {
     /// The request.
     pub call: Call,
-    /// When it should have left.
+    /// When the request was scheduled to be sent.
     pub due: Instant,
-    /// What was told.
-    pub heard: Heard,
-    /// Time from when it should have left until its answer ended: includes any delay of
-    /// the sender itself.
+    /// Outcome as the caller saw it.
+    pub heard: TimedReply,
+    /// Time from the scheduled start to the end of the response, so it includes any delay of the
+    /// load generator itself.
     pub took: Duration,
 }
 
-/// Sends by the plan and reports; every record also goes to `inspect`.
+/// Sends the planned load and returns a report; `inspect` is called with every record.
 pub async fn run(plan: &Plan, mut inspect: impl FnMut(&Record)) -> Report {
-    let (sender, mut records) = mpsc::channel(COUNTING_RING);
-    let sending = tokio::spawn(send(plan.clone(), sender));
+    let (sender, mut records) = mpsc::channel(RECORD_QUEUE_CAPACITY);
+    let sending = tokio::spawn(send_all(plan.clone(), sender));
     let mut report = Report::new(plan.rate, plan.duration);
     while let Some(record) = records.recv().await {
         inspect(&record);
@@ -83,23 +84,23 @@
     report
 }
 
-async fn send(plan: Plan, records: mpsc::Sender<Record>) {
+async fn send_all(plan: Plan, records: mpsc::Sender<Record>) {
     let caller = Caller::default();
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
-    let began = Instant::now();
-    let mut due = began;
+    let started_at = Instant::now();
+    let mut due = started_at;
     let mut number = 0_usize;
-    while due < began + plan.duration {
+    while due < started_at + plan.duration {
         tokio::time::sleep_until(due.into()).await;
-        let call = draw(&plan, &mut rng, number);
+        let call = random_call(&plan, &mut rng, number);
         let target = plan.targets[number % plan.targets.len()];
-        tokio::spawn(one(caller.clone(), target, call, due, records.clone()));
+        tokio::spawn(send_one(caller.clone(), target, call, due, records.clone()));
         number += 1;
-        due += gap(&plan, &mut rng);
+        due += random_gap(&plan, &mut rng);
     }
 }
 
-async fn one(
+async fn send_one(
     caller: Caller,
     target: SocketAddr,
     call: Call,
@@ -117,18 +118,19 @@
     let _ = records.send(record).await;
 }
 
-/// Gaps of a Poisson process: bursts and lulls as real callers make them.
-fn gap(plan: &Plan, rng: &mut ChaCha8Rng) -> Duration {
+/// Returns a random gap between two requests of a Poisson process, whose bursts and pauses resemble
+/// those of real callers.
+fn random_gap(plan: &Plan, rng: &mut ChaCha8Rng) -> Duration {
     let uniform: f64 = rng.random::<f64>().max(f64::MIN_POSITIVE);
     Duration::from_secs_f64(-uniform.ln() / plan.rate)
 }
 
-fn draw(plan: &Plan, rng: &mut ChaCha8Rng, number: usize) -> Call {
+fn random_call(plan: &Plan, rng: &mut ChaCha8Rng, number: usize) -> Call {
     let unrepeatable = rng.random::<f64>() < plan.unrepeatable;
     let id = format!("{}-{number}", plan.run);
     Call {
-        service: weighted(&plan.services, rng),
-        client_account: weighted(&plan.client_accounts, rng),
+        service: pick_weighted(&plan.services, rng),
+        client_account: pick_weighted(&plan.client_accounts, rng),
         method: if unrepeatable {
             Method::POST
         } else {
@@ -142,14 +144,14 @@
     }
 }
 
-fn weighted(shares: &[(String, f64)], rng: &mut ChaCha8Rng) -> String {
+fn pick_weighted(shares: &[(String, f64)], rng: &mut ChaCha8Rng) -> String {
     let total: f64 = shares.iter().map(|(_, share)| share).sum();
-    let mut left = rng.random::<f64>() * total;
+    let mut remaining = rng.random::<f64>() * total;
     for (name, share) in shares {
-        if left < *share {
+        if remaining < *share {
             return name.clone();
         }
-        left -= share;
+        remaining -= share;
     }
     shares
         .last()
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `mintridge-bench`: open-loop load with a report.
+//! `mintridge-bench`: sends open-loop load and prints a report.
 
 mod flags;
 
@@ -7,17 +7,17 @@
 
 use mintridge_bench::load::{self, Plan};
 
-/// Exit code for wrong arguments.
-const EXIT_ARGUMENTS: u8 = 2;
-/// Longest run, so that load always ends by itself.
-const SECONDS_MOST: f64 = 600.0;
+/// Exit code for invalid arguments.
+const EXIT_INVALID_ARGUMENTS: u8 = 2;
+/// Maximum duration of a run, which ensures that the load always ends.
+const MAX_SECONDS: f64 = 600.0;
 
-/// An argument that makes no sense.
+/// Error for an invalid argument.
 #[derive(Debug, thiserror::Error)]
-enum Invalid {
+enum InvalidArgument {
     #[error("--target is missing")]
     NoTarget,
-    #[error("--target {0} is not a loopback address: load is for trials on this machine")]
+    #[error("--target {0} is not a loopback address: load may only be sent to this machine")]
     NotLoopback(std::net::SocketAddr),
     #[error("--{name}: {value} is outside {allowed}")]
     Range {
@@ -25,7 +25,7 @@
         value: f64,
         allowed: &'static str,
     },
-    #[error("{0}: a share is a number above 0")]
+    #[error("{0}: the share must be a number above 0")]
     Share(String),
 }
 
@@ -36,7 +36,7 @@
         Ok(plan) => plan,
         Err(invalid) => {
             eprintln!("{invalid}");
-            return ExitCode::from(EXIT_ARGUMENTS);
+            return ExitCode::from(EXIT_INVALID_ARGUMENTS);
         }
     };
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -61,24 +61,24 @@
     ExitCode::SUCCESS
 }
 
-fn plan(arguments: flags::MintridgeBench) -> Result<Plan, Invalid> {
+fn plan(arguments: flags::MintridgeBench) -> Result<Plan, InvalidArgument> {
     if arguments.target.is_empty() {
-        return Err(Invalid::NoTarget);
+        return Err(InvalidArgument::NoTarget);
     }
-    let outside = arguments
+    let not_loopback = arguments
         .target
         .iter()
         .find(|target| !target.ip().is_loopback());
-    if let Some(outside) = outside {
-        return Err(Invalid::NotLoopback(*outside));
+    if let Some(target) = not_loopback {
+        return Err(InvalidArgument::NotLoopback(*target));
     }
     let defaults = Plan::default();
     let rate = arguments.rate.unwrap_or(defaults.rate);
-    check("rate", rate, 0.01, 1e6, "0.01 to 1000000")?;
+    check_range("rate", rate, 0.01, 1e6, "0.01 to 1000000")?;
     let seconds = arguments.seconds.unwrap_or(defaults.duration.as_secs_f64());
-    check("seconds", seconds, 0.001, SECONDS_MOST, "0.001 to 600")?;
+    check_range("seconds", seconds, 0.001, MAX_SECONDS, "0.001 to 600")?;
     let unrepeatable = arguments.unrepeatable.unwrap_or(defaults.unrepeatable);
-    check("unrepeatable", unrepeatable, 0.0, 1.0, "0 to 1")?;
+    check_range("unrepeatable", unrepeatable, 0.0, 1.0, "0 to 1")?;
     let timeout = arguments
         .timeout_ms
         .map_or(defaults.timeout, Duration::from_millis);
@@ -92,47 +92,50 @@
         timeout,
         path: arguments.path.unwrap_or(defaults.path),
         seed: arguments.seed.unwrap_or(defaults.seed),
-        run: run_name(),
+        run: unique_run_name(),
     })
 }
 
-fn check(
+fn check_range(
     name: &'static str,
     value: f64,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
     allowed: &'static str,
-) -> Result<(), Invalid> {
-    if (least..=most).contains(&value) {
+) -> Result<(), InvalidArgument> {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
-    Err(Invalid::Range {
+    Err(InvalidArgument::Range {
         name,
         value,
         allowed,
     })
 }
 
-fn shares(written: &[String], default: Vec<(String, f64)>) -> Result<Vec<(String, f64)>, Invalid> {
-    if written.is_empty() {
+fn shares(
+    arguments: &[String],
+    default: Vec<(String, f64)>,
+) -> Result<Vec<(String, f64)>, InvalidArgument> {
+    if arguments.is_empty() {
         return Ok(default);
     }
-    written.iter().map(|written| share(written)).collect()
+    arguments.iter().map(|argument| share(argument)).collect()
 }
 
-fn share(written: &str) -> Result<(String, f64), Invalid> {
-    let Some((name, share)) = written.split_once('=') else {
-        return Ok((written.to_owned(), 1.0));
+fn share(argument: &str) -> Result<(String, f64), InvalidArgument> {
+    let Some((name, share)) = argument.split_once('=') else {
+        return Ok((argument.to_owned(), 1.0));
     };
     match share.parse::<f64>() {
         Ok(share) if share > 0.0 => Ok((name.to_owned(), share)),
-        _ => Err(Invalid::Share(written.to_owned())),
+        _ => Err(InvalidArgument::Share(argument.to_owned())),
     }
 }
 
-/// Differs from run to run, so that idempotency keys are never used twice.
-fn run_name() -> String {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    let nanos = since.map_or(0, |since| since.as_nanos());
+/// Returns a name that differs between runs, so that idempotency keys are never reused.
+fn unique_run_name() -> String {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    let nanos = since_epoch.map_or(0, |since_epoch| since_epoch.as_nanos());
     format!("bench-{nanos:x}")
 }
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -1,8 +1,8 @@
-//! The policy bench: ways of choosing an upstream, side by side, in virtual time.
+//! Comparison of placement policies in virtual time.
 //!
-//! Real cores of entries and guards meet a small fake of upstreams: slots, service times,
-//! and a speed that changes. Reports reach entries late by the zone delay. There is no
-//! network model and no life cycle of nodes. The same seed gives the same figures.
+//! The real cores of entries and guards run against simulated upstreams with slots, service times
+//! and a varying speed. Load reports reach entries after the zone delay. Neither the network nor
+//! the life cycle of nodes is modelled. The same seed gives the same results.
 
 mod fake;
 
@@ -15,20 +15,20 @@
 
 pub use fake::run;
 
-/// A deployment of the brief.
+/// A deployment of mintridge.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
-    /// Its name.
+    /// Name in the printed table.
     pub name: &'static str,
-    /// Hosts of the service looked at.
+    /// Number of hosts of the simulated service.
     pub hosts: usize,
-    /// Slots of each.
+    /// Slots per host.
     pub slots: u32,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// One way between zones.
+    /// One-way network delay between zones.
     pub zone_delay: Duration,
-    /// Entries: nodes of all its services.
+    /// Number of entries; every node of any service is one.
     pub entries: usize,
 }
 
@@ -52,22 +52,22 @@
     entries: 11,
 };
 
-/// What goes wrong.
+/// Disturbance that a run simulates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// Nothing.
+    /// No disturbance.
     Even,
-    /// Each host now and then runs at half speed for 5 to 200 ms.
+    /// Each host repeatedly runs at half speed for 5 to 200 ms.
     Noisy,
-    /// One host takes ten times as long.
+    /// One host is ten times slower.
     Straggler,
-    /// One host refuses everything at once.
+    /// One host refuses every request immediately.
     FailFast,
-    /// One host joins after a second, and is five times slower for three more.
+    /// One host joins after 1 s and is five times slower for the next 3 s.
     ColdStart,
-    /// One client account sends ten times its share for a second; small ones are looked at.
+    /// One client account sends ten times its share for 1 s; the others are measured.
     Burst,
-    /// Arrivals are ten-fold for 300 ms.
+    /// Half the given load, and ten times the given load for 300 ms.
     Auction,
 }
 
@@ -82,99 +82,107 @@
     Condition::Auction,
 ];
 
-/// What an entry may look at when it chooses.
+/// Input of a placement policy.
 pub struct View<'a> {
-    /// The entry that chooses.
+    /// Index of the entry that places the request.
     pub entry: usize,
-    /// Hosts not tried yet and present.
-    pub open: &'a [usize],
-    /// Requests of this entry on their way to or at each host.
-    pub own: &'a [u32],
-    /// Last report of each host that reached this entry.
+    /// Present hosts that haven't been tried for this request.
+    pub candidates: &'a [usize],
+    /// Requests in flight from this entry to each host.
+    pub own_in_flight: &'a [u32],
+    /// Last report that this entry received from each host.
     pub reports: &'a [Report],
-    /// The truth: expected seconds until a request sent now is answered.
-    pub truth: &'a [f64],
-    /// Randomness.
+    /// Actual expected latency, in seconds, of a request sent to each host now. Real entries can't
+    /// know it.
+    pub actual_latency: &'a [f64],
+    /// Random number generator.
     pub rng: &'a mut ChaCha8Rng,
 }
 
-/// A way of choosing; `None` stands for the real placement core.
-pub type Choose = fn(&mut View<'_>) -> usize;
+/// A placement policy: returns the host for a request.
+pub type ChooseHost = fn(&mut View<'_>) -> usize;
 
-/// The ways compared.
-pub const POLICIES: [(&str, Option<Choose>); 8] = [
+/// The compared policies by printed name; `None` stands for the real placement core.
+pub const POLICIES: [(&str, Option<ChooseHost>); 8] = [
     ("random", Some(random)),
     ("round robin", Some(round_robin)),
-    ("least own", Some(least_own)),
-    ("two choices, own", Some(two_own)),
-    ("two choices, reports", Some(two_reports)),
+    ("least own", Some(least_in_flight)),
+    ("two choices, own", Some(two_choices_in_flight)),
+    ("two choices, reports", Some(two_choices_reported)),
     ("least reported", Some(least_reported)),
     ("mintridge", None),
     ("all-seeing", Some(all_seeing)),
 ];
 
 fn random(view: &mut View<'_>) -> usize {
-    view.open[view.rng.random_range(0..view.open.len())]
+    view.candidates[view.rng.random_range(0..view.candidates.len())]
 }
 
-/// Each entry goes round on its own; the count of its requests is its place.
+/// Round robin per entry, positioned by the number of its requests in flight.
 fn round_robin(view: &mut View<'_>) -> usize {
-    let total: u32 = view.own.iter().sum();
+    let total: u32 = view.own_in_flight.iter().sum();
     let step = usize::try_from(total).unwrap_or(0) + view.entry;
-    view.open[(step + view.rng.random_range(0..2)) % view.open.len()]
+    view.candidates[(step + view.rng.random_range(0..2)) % view.candidates.len()]
 }
 
-fn least_own(view: &mut View<'_>) -> usize {
-    let from = view.rng.random_range(0..view.open.len());
-    let turned = view.open[from..].iter().chain(&view.open[..from]);
-    *turned.min_by_key(|host| view.own[**host]).unwrap_or(&0)
+fn least_in_flight(view: &mut View<'_>) -> usize {
+    let start = view.rng.random_range(0..view.candidates.len());
+    let rotated = view.candidates[start..]
+        .iter()
+        .chain(&view.candidates[..start]);
+    *rotated
+        .min_by_key(|host| view.own_in_flight[**host])
+        .unwrap_or(&0)
 }
 
-fn two(view: &mut View<'_>, load: fn(&View<'_>, usize) -> u32) -> usize {
+fn two_choices(view: &mut View<'_>, load: fn(&View<'_>, usize) -> u32) -> usize {
     let (a, b) = (random(view), random(view));
     if load(view, a) <= load(view, b) { a } else { b }
 }
 
-fn two_own(view: &mut View<'_>) -> usize {
-    two(view, |view, host| view.own[host])
+fn two_choices_in_flight(view: &mut View<'_>) -> usize {
+    two_choices(view, |view, host| view.own_in_flight[host])
 }
 
-fn reported(view: &View<'_>, host: usize) -> u32 {
+fn reported_load(view: &View<'_>, host: usize) -> u32 {
     view.reports[host].in_flight + view.reports[host].queued
 }
 
-fn two_reports(view: &mut View<'_>) -> usize {
-    two(view, reported)
+fn two_choices_reported(view: &mut View<'_>) -> usize {
+    two_choices(view, reported_load)
 }
 
 fn least_reported(view: &mut View<'_>) -> usize {
-    let least = view.open.iter().min_by_key(|host| reported(view, **host));
+    let least = view
+        .candidates
+        .iter()
+        .min_by_key(|host| reported_load(view, **host));
     *least.unwrap_or(&0)
 }
 
 fn all_seeing(view: &mut View<'_>) -> usize {
     let best = view
-        .open
+        .candidates
         .iter()
-        .min_by(|a, b| view.truth[**a].total_cmp(&view.truth[**b]));
+        .min_by(|a, b| view.actual_latency[**a].total_cmp(&view.actual_latency[**b]));
     *best.unwrap_or(&0)
 }
 
-/// Figures of one run.
+/// Results of one run.
 #[derive(Clone, Debug)]
-pub struct Figures {
-    /// Latency of those answered, in microseconds.
+pub struct Results {
+    /// Latency of the measured requests that were served, in microseconds.
     pub latency: Histogram<u64>,
-    /// Requests looked at.
+    /// Measured requests.
     pub requests: u64,
-    /// Requests refused in the end.
+    /// Measured requests that were finally refused.
     pub refused: u64,
-    /// Attempts made.
+    /// Attempts of all requests, including those that aren't measured.
     pub attempts: u64,
 }
 
-impl Figures {
-    /// A percentile of the latency, in milliseconds.
+impl Results {
+    /// Returns a percentile of the latency, in milliseconds.
     #[must_use]
     pub fn millis(&self, percent: f64) -> f64 {
         Duration::from_micros(self.latency.value_at_percentile(percent)).as_secs_f64() * 1e3
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run showed: outcomes, percentiles, spread.
+//! Report of a load run: outcomes, latency percentiles and the distribution over hosts.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,11 +10,11 @@
 use crate::caller::Told;
 use crate::load::Record;
 
-/// Longest latency recorded, in microseconds.
-const LATENCY_MOST: u64 = 120_000_000;
-/// Digits kept of a latency.
-const DIGITS: u8 = 3;
-/// Percentiles shown.
+/// Maximum latency recorded, in microseconds.
+const MAX_LATENCY_MICROS: u64 = 120_000_000;
+/// Precision of recorded latencies, in significant decimal digits.
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// Latency percentiles in the report.
 const PERCENTILES: [(&str, f64); 5] = [
     ("p50", 50.0),
     ("p90", 90.0),
@@ -23,7 +23,7 @@
     ("most", 100.0),
 ];
 
-/// Result of a run.
+/// Results of a load run.
 #[derive(Clone, Debug)]
 pub struct Report {
     rate: f64,
@@ -34,29 +34,29 @@
     sent: u64,
 }
 
-/// A report as scripts read it.
+/// Machine-readable form of a report.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
-    /// Requests a second asked for.
+    /// Planned requests per second.
     pub rate: f64,
     /// Requests sent.
     pub sent: u64,
     /// Requests by outcome.
     pub outcomes: BTreeMap<String, u64>,
-    /// Answers by host.
+    /// Responses by host.
     pub hosts: BTreeMap<String, u64>,
-    /// Latency of successful answers in milliseconds, by percentile.
+    /// Latency of successful responses in milliseconds, by percentile.
     pub latency_millis: BTreeMap<&'static str, f64>,
 }
 
 impl Report {
-    /// Nothing recorded yet.
+    /// Creates an empty report.
     ///
     /// # Panics
-    /// Never: the histogram's bounds are constants within its limits.
+    /// Never: the histogram bounds are valid constants.
     #[must_use]
     pub fn new(rate: f64, duration: Duration) -> Self {
-        let latency = Histogram::new_with_bounds(1, LATENCY_MOST, DIGITS);
+        let latency = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
         Self {
             rate,
             duration,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes one record in.
+    /// Adds the record of one request.
     pub fn add(&mut self, record: &Record) {
         self.sent += 1;
         let outcome = match &record.heard.told {
@@ -92,25 +92,25 @@
         *self.outcomes.entry(outcome).or_default() += 1;
     }
 
-    /// Requests sent.
+    /// Number of requests sent.
     #[must_use]
     pub const fn sent(&self) -> u64 {
         self.sent
     }
 
-    /// Requests with this outcome.
+    /// Number of requests with the given outcome.
     #[must_use]
     pub fn outcome(&self, name: &str) -> u64 {
         self.outcomes.get(name).copied().unwrap_or(0)
     }
 
-    /// A percentile of the latency of successful answers.
+    /// Returns a percentile of the latency of successful responses.
     #[must_use]
     pub fn percentile(&self, percent: f64) -> Duration {
         Duration::from_micros(self.latency.value_at_percentile(percent))
     }
 
-    /// The report for scripts.
+    /// Returns the machine-readable form of the report.
     #[must_use]
     pub fn summary(&self) -> Summary {
         let latency = PERCENTILES
