--- a/crates/standin/src/bin/soak.rs
+++ b/crates/standin/src/bin/soak.rs
@@ -1,4 +1,4 @@
-//! `standin-soak`: plays seeds of the soak and tells which promises broke.
+//! `standin-soak`: runs seeds of the soak and reports violated guarantees.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -10,17 +10,17 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Plays seeds of the soak on loopback, one after the other; each ends by itself.
+        /// Runs seeds of the soak on loopback, one after the other; each run terminates by itself.
         cmd standin-soak {
-            /// The node's binary.
+            /// Path of the node binary.
             required binary: PathBuf
             /// First seed.
             required first: u64
             /// Number of seeds, 1 by default.
             optional --seeds seeds: u64
-            /// Seconds of load with faults, 10 by default.
+            /// Duration of the load with faults in seconds, 10 by default.
             optional --seconds seconds: u64
-            /// Hosts, 5 by default.
+            /// Number of hosts, 5 by default.
             optional --hosts hosts: usize
         }
     }
@@ -36,7 +36,7 @@
         }
     };
     let defaults = Settings::default();
-    let mut red = 0;
+    let mut failed = 0;
     for seed in flags.first..flags.first + flags.seeds.unwrap_or(1) {
         let settings = Settings {
             binary: flags.binary.clone(),
@@ -45,14 +45,14 @@
             load: flags.seconds.map_or(defaults.load, Duration::from_secs),
             ..defaults.clone()
         };
-        red += u32::from(!play(&runtime, &settings));
+        failed += u32::from(!run_seed(&runtime, &settings));
     }
-    println!("{red} red");
-    ExitCode::from(u8::from(red > 0))
+    println!("{failed} red");
+    ExitCode::from(u8::from(failed > 0))
 }
 
-/// Plays one seed; true if every promise held.
-fn play(runtime: &tokio::runtime::Runtime, settings: &Settings) -> bool {
+/// Runs one seed; returns whether every guarantee held.
+fn run_seed(runtime: &tokio::runtime::Runtime, settings: &Settings) -> bool {
     let seed = settings.seed;
     match runtime.block_on(soak::run(settings)) {
         Ok(outcome) => {
@@ -62,22 +62,22 @@
                 outcome.sent,
                 outcome.broken.len()
             );
-            for sent in &outcome.without_a_word {
+            for record in &outcome.closed_unanswered {
                 println!(
-                    "  {} ended without a word: {} bytes to {} after {:?}",
-                    sent.call.id,
-                    sent.call.body.len(),
-                    sent.node,
-                    sent.took
+                    "  {} got no response before its connection closed: {} bytes to {} after {:?}",
+                    record.call.id,
+                    record.call.body.len(),
+                    record.node,
+                    record.took
                 );
             }
-            for broken in &outcome.broken {
-                println!("  {broken}");
+            for violation in &outcome.broken {
+                println!("  {violation}");
             }
             outcome.broken.is_empty()
         }
         Err(error) => {
-            println!("seed {seed}: not played: {error}");
+            println!("seed {seed}: run aborted: {error}");
             false
         }
     }
--- a/crates/standin/src/soak.rs
+++ b/crates/standin/src/soak.rs
@@ -1,9 +1,9 @@
-//! A randomized soak: real nodes as processes, faults from outside them in series that
-//! overlap, and the promises checked while it runs.
+//! A randomized fault soak: nodes run as real processes, overlapping faults are injected from
+//! outside, and the guarantees to callers and operators are checked during and after the run.
 //!
-//! [`plan`] draws from a seed what happens, [`fleet`] does it, [`callers`] send requests
-//! meanwhile, and [`promises`] says what must hold. A run ends with every fault undone and the
-//! fleet serving again.
+//! [`plan`] draws the events from a seed, [`fleet`] executes them, [`callers`] generates load
+//! meanwhile, and [`promises`] checks the guarantees. At the end of a run every fault has been
+//! cleared, and the fleet must serve all requests again.
 
 pub mod callers;
 pub mod fleet;
@@ -14,35 +14,35 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use self::callers::{Sent, Targets};
+use self::callers::{Record, Targets};
 use self::fleet::Fleet;
 use self::plan::{Entry, Mode};
-use self::promises::Broken;
+use self::promises::Violation;
 use crate::scene::Error;
 use crate::upstream::CRASHES;
 
-/// How often the fleet is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// Requests sent after the last fault.
-const AFTERWARDS: Duration = Duration::from_secs(1);
-/// Time for the fleet to serve everybody again after the last fault: suspicions are over
-/// within a few rounds of exchanges, announcements come every second.
-const RECOVERS_WITHIN: Duration = Duration::from_secs(15);
+/// Interval at which the state of the fleet is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Duration of each round of load after the last fault.
+const RECOVERY_LOAD_DURATION: Duration = Duration::from_secs(1);
+/// Time after the last fault within which the fleet must serve all requests again: suspicions of
+/// peers are cleared within a few gossip rounds, and upstreams announce themselves every second.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// One run.
+/// Settings of one run.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The node's binary.
+    /// Path of the node binary.
     pub binary: PathBuf,
-    /// Draws the plan and the load.
+    /// Seed of the plan and of the load.
     pub seed: u64,
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Time of load with faults.
+    /// Duration of the load with faults.
     pub load: Duration,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Whether some requests bring large bodies.
+    /// Whether some requests carry large bodies.
     pub bodies: bool,
 }
 
@@ -59,134 +59,152 @@
     }
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: usize,
-    /// How many of them succeeded.
+    /// Number of requests that succeeded.
     pub succeeded: usize,
-    /// Requests that ended without a word and did not run.
-    pub without_a_word: Vec<Sent>,
-    /// Promises broken.
-    pub broken: Vec<Broken>,
+    /// Requests whose connection closed without a response and that did not run.
+    pub closed_unanswered: Vec<Record>,
+    /// Guarantees that were violated.
+    pub broken: Vec<Violation>,
 }
 
-/// Plays one seed.
+/// Runs the soak with one seed.
 ///
 /// # Errors
-/// If a socket or node cannot be started.
+/// If a socket cannot be opened or a node cannot be started.
 pub async fn run(settings: &Settings) -> Result<Outcome, Error> {
     let plan = plan::draw(settings.seed, settings.hosts, settings.load);
-    let mut fleet = Fleet::start(settings.binary.clone(), settings.hosts, plan.cold).await?;
-    let mut broken = Vec::new();
-    let began = Instant::now();
-    let sending = tokio::spawn(callers::run(
+    let mut fleet = Fleet::start(
+        settings.binary.clone(),
+        settings.hosts,
+        plan.has_cold_upstreams,
+    )
+    .await?;
+    let mut violations = Vec::new();
+    let started_at = Instant::now();
+    let load_task = tokio::spawn(callers::run(
         load(settings, format!("seed-{}", settings.seed)),
         Targets::clone(&fleet.targets),
-        began + settings.load,
+        started_at + settings.load,
     ));
-    let repeating = plan.crashing.then(|| {
+    let repeat_task = plan.repeats_crash_request.then(|| {
         fleet.scene.crash_on(Some(CRASHES));
-        let run = format!("seed-{}", settings.seed);
+        let id_prefix = format!("seed-{}", settings.seed);
         let targets = Targets::clone(&fleet.targets);
-        tokio::spawn(callers::repeat(run, targets, began + settings.load))
+        tokio::spawn(callers::repeat(
+            id_prefix,
+            targets,
+            started_at + settings.load,
+        ))
     });
-    play(&mut fleet, &plan.entries, began, &mut broken).await?;
-    let sent = sending.await.unwrap_or_default();
-    let repeated = match repeating {
-        Some(repeating) => repeating.await.unwrap_or_default(),
+    run_plan(&mut fleet, &plan.entries, started_at, &mut violations).await?;
+    let records = load_task.await.unwrap_or_default();
+    let repeats = match repeat_task {
+        Some(repeat_task) => repeat_task.await.unwrap_or_default(),
         None => Vec::new(),
     };
-    recover(&mut fleet, settings, &mut broken).await?;
-    broken.append(&mut fleet.versions.broken);
+    recover(&mut fleet, settings, &mut violations).await?;
+    violations.append(&mut fleet.versions.violations);
     let runs = runs(&fleet);
-    broken.extend(promises::of_answers(&sent, &runs));
-    broken.extend(promises::of_repeats(&repeated, fleet.third_end_at, &runs));
-    if plan.cold {
-        broken.extend(promises::of_cold_upstreams(&fleet.cold_most()));
+    violations.extend(promises::check_answers(&records, &runs));
+    violations.extend(promises::check_repeats(
+        &repeats,
+        fleet.third_crash_at,
+        &runs,
+    ));
+    if plan.has_cold_upstreams {
+        violations.extend(promises::check_cold_upstreams(&fleet.max_cold_requests()));
     }
     if plan.mode == Mode::Planned {
-        broken.extend(promises::of_planned_work(&sent, &runs));
+        violations.extend(promises::check_planned_work(&records, &runs));
     }
     Ok(Outcome {
-        sent: sent.len(),
-        succeeded: sent.iter().filter(|sent| sent.told.is_success()).count(),
-        without_a_word: without_a_word(&sent, &runs),
-        broken,
+        sent: records.len(),
+        succeeded: records
+            .iter()
+            .filter(|record| record.result.is_success())
+            .count(),
+        closed_unanswered: closed_unanswered(&records, &runs),
+        broken: violations,
     })
 }
 
-fn without_a_word(sent: &[Sent], runs: &BTreeMap<String, u32>) -> Vec<Sent> {
-    sent.iter()
-        .filter(|sent| promises::ended_without_a_word(sent, runs))
+fn closed_unanswered(records: &[Record], runs: &BTreeMap<String, u32>) -> Vec<Record> {
+    records
+        .iter()
+        .filter(|record| promises::is_closed_unanswered(record, runs))
         .cloned()
         .collect()
 }
 
-fn load(settings: &Settings, run: String) -> callers::Load {
+fn load(settings: &Settings, id_prefix: String) -> callers::Load {
     callers::Load {
         seed: settings.seed,
-        run,
+        id_prefix,
         rate: settings.rate,
         bodies: settings.bodies,
     }
 }
 
-/// Begins and ends what is planned, in order of time.
-async fn play(
+/// Begins and ends the events of a plan at their times.
+async fn run_plan(
     fleet: &mut Fleet,
     entries: &[Entry],
-    began: Instant,
-    broken: &mut Vec<Broken>,
+    started_at: Instant,
+    violations: &mut Vec<Violation>,
 ) -> Result<(), Error> {
-    let mut to_begin = entries.iter().peekable();
-    let mut to_end: Vec<&Entry> = Vec::new();
-    while to_begin.peek().is_some() || !to_end.is_empty() || fleet.is_stopping() {
-        let now = began.elapsed();
-        while let Some(entry) = to_begin.next_if(|entry| now >= entry.at) {
+    let mut pending = entries.iter().peekable();
+    let mut active: Vec<&Entry> = Vec::new();
+    while pending.peek().is_some() || !active.is_empty() || fleet.is_stopping() {
+        let now = started_at.elapsed();
+        while let Some(entry) = pending.next_if(|entry| now >= entry.at) {
             fleet.begin(entry).await;
-            to_end.push(entry);
+            active.push(entry);
         }
-        let (due, later): (Vec<&Entry>, _) = to_end.iter().partition(|entry| now >= entry.until);
+        let (due, remaining): (Vec<&Entry>, _) =
+            active.iter().partition(|entry| now >= entry.until);
         for entry in due {
             fleet.end(entry).await?;
         }
-        to_end = later;
-        fleet.look(broken).await?;
-        fleet.look_at_versions().await;
-        tokio::time::sleep(LOOK_EVERY).await;
+        active = remaining;
+        fleet.poll(violations).await?;
+        fleet.poll_versions().await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
 
-/// Waits until the fleet serves again, and counts what fails after that.
+/// Sends rounds of load until every request of a round succeeds; reports a violation on timeout.
 async fn recover(
     fleet: &mut Fleet,
     settings: &Settings,
-    broken: &mut Vec<Broken>,
+    violations: &mut Vec<Violation>,
 ) -> Result<(), Error> {
-    let give_up_at = Instant::now() + RECOVERS_WITHIN;
+    let deadline = Instant::now() + RECOVERY_TIMEOUT;
     loop {
-        fleet.look(broken).await?;
-        let run = format!("after-{}-{:?}", settings.seed, Instant::now());
+        fleet.poll(violations).await?;
+        let id_prefix = format!("after-{}-{:?}", settings.seed, Instant::now());
         let targets = Targets::clone(&fleet.targets);
-        let until = Instant::now() + AFTERWARDS;
-        let sent = callers::run(load(settings, run), targets, until).await;
-        let failed = |sent: &&Sent| !sent.told.is_success();
-        let failed = sent.iter().filter(failed).count();
-        if failed == 0 && !sent.is_empty() {
+        let until = Instant::now() + RECOVERY_LOAD_DURATION;
+        let records = callers::run(load(settings, id_prefix), targets, until).await;
+        let is_failed = |record: &&Record| !record.result.is_success();
+        let failed = records.iter().filter(is_failed).count();
+        if failed == 0 && !records.is_empty() {
             return Ok(());
         }
-        if Instant::now() > give_up_at {
-            let sent = sent.len();
-            broken.push(Broken::NotRecovered { sent, failed });
+        if Instant::now() > deadline {
+            let sent = records.len();
+            violations.push(Violation::NotRecovered { sent, failed });
             return Ok(());
         }
     }
 }
 
-/// Runs of all requests, over all upstreams.
+/// How often each request ran, summed over all upstreams.
 fn runs(fleet: &Fleet) -> BTreeMap<String, u32> {
     let mut runs: BTreeMap<String, u32> = BTreeMap::new();
     for host in &fleet.scene.hosts {
--- a/crates/standin/src/soak/callers.rs
+++ b/crates/standin/src/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of a run: they keep their connections open until the process behind is gone.
+//! Load of a run, sent over connections that stay open until the node's process is gone.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,53 +14,54 @@
 
 use crate::upstream::CRASHES;
 
-/// Share of unrepeatable requests.
-const UNREPEATABLE: f64 = 0.4;
-/// Share of the unrepeatable requests that carry an idempotency key.
-const KEYED: f64 = 0.5;
-/// One in so many unrepeatable requests brings a large body.
-const LARGE_ONE_IN: u32 = 5;
-/// Least size of a large body, in bytes, and how many times that the largest has: more than a
-/// node keeps for a second attempt.
-const LARGE: usize = 60_000;
-const LARGE_TIMES: u32 = 6;
-/// Time allowed to each request.
-const ALLOWED: Duration = Duration::from_secs(2);
+/// Share of non-idempotent requests.
+const NON_IDEMPOTENT_SHARE: f64 = 0.4;
+/// Share of the non-idempotent requests that carry an idempotency key.
+const KEYED_SHARE: f64 = 0.5;
+/// A non-idempotent request carries a large body if its number is a multiple of this.
+const LARGE_BODY_ONE_IN: u32 = 5;
+/// Size of the smallest large body.
+const MIN_LARGE_BODY_BYTES: usize = 60_000;
+/// Size of the largest body, in multiples of the smallest: more than a node buffers for a second
+/// attempt.
+const MAX_LARGE_BODY_FACTOR: u32 = 6;
+/// Timeout of each request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time between two repeats of it.
-const REPEATED_EVERY: Duration = Duration::from_millis(90);
+/// Time between two repeats of the crashing request.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(90);
 
-/// A request and what its caller was told.
+/// A request and its result.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct Record {
     /// The request.
     pub call: Call,
-    /// What was told.
-    pub told: Told,
-    /// Where the node takes callers that it was sent to.
+    /// Result that the caller got.
+    pub result: Told,
+    /// Caller address of the node that the request was sent to.
     pub node: SocketAddr,
-    /// Time until all of it was told.
+    /// Time until the result was complete.
     pub took: Duration,
 }
 
-/// Where nodes take requests now; none for one that is gone.
+/// Caller address of each node; `None` while the node's process is gone.
 pub type Targets = Arc<Mutex<Vec<Option<SocketAddr>>>>;
 
-/// What callers of a run send.
+/// Load that callers generate.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Draws the requests.
+    /// Seed of the requests.
     pub seed: u64,
-    /// Begins the id of each request.
-    pub run: String,
-    /// Requests a second.
+    /// Prefix of all request ids.
+    pub id_prefix: String,
+    /// Requests per second.
     pub rate: f64,
-    /// Whether some bring large bodies.
+    /// Whether some requests carry large bodies.
     pub bodies: bool,
 }
 
-/// Sends requests until `until`, and returns all with what was told.
-pub async fn run(load: Load, targets: Targets, until: Instant) -> Vec<Sent> {
+/// Sends requests until `until` and returns all of them with their results.
+pub async fn run(load: Load, targets: Targets, until: Instant) -> Vec<Record> {
     let caller = Caller::default();
     let mut rng = ChaCha8Rng::seed_from_u64(load.seed);
     let mut sending = JoinSet::new();
@@ -70,17 +71,17 @@
     while due < until {
         tokio::time::sleep_until(due.into()).await;
         let call = draw(&mut rng, &load, number);
-        let open: Vec<SocketAddr> = targets.lock().iter().flatten().copied().collect();
-        if !open.is_empty() {
-            let target = open[rng.random_range(0..open.len())];
+        let reachable: Vec<SocketAddr> = targets.lock().iter().flatten().copied().collect();
+        if !reachable.is_empty() {
+            let target = reachable[rng.random_range(0..reachable.len())];
             let caller = caller.clone();
             sending.spawn(async move {
-                let heard = caller.call(target, &call).await;
-                Sent {
+                let reply = caller.call(target, &call).await;
+                Record {
                     call,
-                    told: heard.told,
+                    result: reply.told,
                     node: target,
-                    took: heard.took,
+                    took: reply.took,
                 }
             });
         }
@@ -90,18 +91,18 @@
     sending.join_all().await
 }
 
-/// A repeat of a request that ends upstreams.
+/// One repeat of a request that crashes upstreams.
 #[derive(Clone, Debug)]
 pub struct Repeat {
-    /// Its own id.
+    /// Id of this repeat.
     pub id: String,
-    /// When it was sent.
+    /// When the repeat was sent.
     pub sent_at: Instant,
 }
 
-/// Sends one request that ends upstreams again and again until `until`, each time through another
-/// node and under a new id, and waits for no answer before the next.
-pub async fn repeat(run: String, targets: Targets, until: Instant) -> Vec<Repeat> {
+/// Repeats a request that crashes upstreams until `until`, each time through the next node and
+/// with a new id, without waiting for responses.
+pub async fn repeat(id_prefix: String, targets: Targets, until: Instant) -> Vec<Repeat> {
     let caller = Caller::default();
     let mut sent = Vec::new();
     let mut sending = JoinSet::new();
@@ -110,47 +111,51 @@
         if sent_at > until {
             break;
         }
-        let open: Vec<SocketAddr> = targets.lock().iter().flatten().copied().collect();
-        if !open.is_empty() {
-            let target = open[number % open.len()];
-            let id = format!("{run}-repeat-{number}");
+        let reachable: Vec<SocketAddr> = targets.lock().iter().flatten().copied().collect();
+        if !reachable.is_empty() {
+            let target = reachable[number % reachable.len()];
+            let id = format!("{id_prefix}-repeat-{number}");
             let call = Call {
                 id: id.clone(),
                 path: String::from(CRASHES),
-                timeout: ALLOWED,
+                timeout: REQUEST_TIMEOUT,
                 ..Call::default()
             };
             let caller = caller.clone();
             sending.spawn(async move { caller.call(target, &call).await });
             sent.push(Repeat { id, sent_at });
         }
-        tokio::time::sleep(REPEATED_EVERY).await;
+        tokio::time::sleep(REPEAT_INTERVAL).await;
     }
     sending.join_all().await;
     sent
 }
 
 fn draw(rng: &mut ChaCha8Rng, load: &Load, number: u32) -> Call {
-    let id = format!("{}-{number}", load.run);
-    let unrepeatable = rng.random::<f64>() < UNREPEATABLE;
-    let keyed = unrepeatable && rng.random::<f64>() < KEYED;
-    let large = load.bodies && unrepeatable && number.is_multiple_of(LARGE_ONE_IN);
+    let id = format!("{}-{number}", load.id_prefix);
+    let non_idempotent = rng.random::<f64>() < NON_IDEMPOTENT_SHARE;
+    let keyed = non_idempotent && rng.random::<f64>() < KEYED_SHARE;
+    let large = load.bodies && non_idempotent && number.is_multiple_of(LARGE_BODY_ONE_IN);
     Call {
         body: if large { body(number) } else { Bytes::new() },
-        method: if unrepeatable {
+        method: if non_idempotent {
             Method::POST
         } else {
             Method::GET
         },
         key: keyed.then(|| id.clone()),
         id,
-        timeout: ALLOWED,
+        timeout: REQUEST_TIMEOUT,
         ..Call::default()
     }
 }
 
-/// A large body, by the number of its request.
+/// Large body of a request; its size follows from the number of the request.
 fn body(number: u32) -> Bytes {
-    let times = 1 + number / LARGE_ONE_IN % LARGE_TIMES;
-    Bytes::from(vec![0; LARGE * usize::try_from(times).unwrap_or(1)])
+    let factor = 1 + number / LARGE_BODY_ONE_IN % MAX_LARGE_BODY_FACTOR;
+    Bytes::from(vec![
+        0;
+        MIN_LARGE_BODY_BYTES
+            * usize::try_from(factor).unwrap_or(1)
+    ])
 }
--- a/crates/standin/src/soak/fleet.rs
+++ b/crates/standin/src/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of a run: real nodes as processes, each behind relays, and what is done to them.
+//! The fleet of a run: nodes as real processes behind relays, and the events injected into them.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,7 +13,7 @@
 
 use super::callers::Targets;
 use super::plan::{Entry, Event};
-use super::promises::{Broken, COLD_RATE, Leaving, Versions};
+use super::promises::{COLD_RATE, Leaving, Versions, Violation};
 use crate::relay::{Condition, Relay};
 use crate::scene::{Error, Plan, Running, Scene, loopback};
 use crate::store::Faults;
@@ -23,7 +23,7 @@
 const SERVICE: &str = "service";
 const ZONES: [&str; 2] = ["zone-a", "zone-b"];
 
-/// The network of one host.
+/// Relays of one host: before the node's peer address and between the node and the store.
 struct Network {
     peers: Arc<Relay>,
     peers_task: Option<JoinHandle<()>>,
@@ -31,33 +31,41 @@
     store_address: SocketAddr,
 }
 
-/// Nodes and upstreams, with the networks between them.
+/// Nodes and upstreams, with the relays between them.
 pub struct Fleet {
-    /// Hosts, upstreams and the store.
+    /// Hosts with their nodes and upstreams, and the store.
     pub scene: Scene,
-    /// Where callers find the nodes.
+    /// Caller addresses of the nodes.
     pub targets: Targets,
-    /// What is in force where.
+    /// Preset revisions in force on the nodes.
     pub versions: Versions,
     networks: Vec<Network>,
-    /// Nodes that were told to stop and have to be started again.
+    /// Hosts whose node got SIGTERM and is started again once its process has ended.
     stopping: Vec<usize>,
     leaving: Vec<(usize, Leaving)>,
-    changes: u32,
+    preset_changes: u32,
     faults: Faults,
-    /// When the third upstream was seen to have crashed.
-    pub third_end_at: Option<Instant>,
+    /// When the third crash of an upstream was observed.
+    pub third_crash_at: Option<Instant>,
 }
 
 impl Fleet {
-    /// Starts so many hosts.
+    /// Starts a fleet of `hosts` hosts.
     ///
     /// # Errors
-    /// If a socket or node cannot be started.
-    pub async fn start(binary: PathBuf, hosts: usize, cold: bool) -> Result<Self, Error> {
+    /// If a socket cannot be opened or a node cannot be started.
+    pub async fn start(
+        binary: PathBuf,
+        hosts: usize,
+        has_cold_upstreams: bool,
+    ) -> Result<Self, Error> {
         let scene = Scene::start(Plan {
             services: Vec::new(),
-            adjust: if cold { knows_cold } else { lingers },
+            adjust: if has_cold_upstreams {
+                set_cold_headers
+            } else {
+                set_linger
+            },
             binary: Some(binary),
             ..Plan::default()
         })
@@ -69,9 +77,9 @@
             networks: Vec::new(),
             stopping: Vec::new(),
             leaving: Vec::new(),
-            changes: 0,
+            preset_changes: 0,
             faults: Faults::default(),
-            third_end_at: None,
+            third_crash_at: None,
         };
         for index in 0..hosts {
             fleet.add(index).await?;
@@ -100,26 +108,26 @@
                 SERVICE,
                 zone,
                 behaviour,
-                behind(peers, store_address),
+                set_relay_addresses(peers, store_address),
             )
             .await?;
         self.networks.push(network);
         self.targets.lock().push(None);
-        self.connect(index, listener);
+        self.attach(index, listener);
         Ok(())
     }
 
-    /// Starts the node of a host again, behind a new relay for its peers.
+    /// Starts the node of a host again, with a new relay before its peer address.
     async fn start_node(&mut self, index: usize) -> Result<(), Error> {
         let (listener, peers) = loopback().await?;
         let store_address = self.networks[index].store_address;
         self.scene
-            .start_node_with(index, behind(peers, store_address))?;
-        self.connect(index, listener);
+            .start_node_with(index, set_relay_addresses(peers, store_address))?;
+        self.attach(index, listener);
         Ok(())
     }
 
-    fn connect(&mut self, index: usize, listener: tokio::net::TcpListener) {
+    fn attach(&mut self, index: usize, listener: tokio::net::TcpListener) {
         let addresses = self.scene.addresses(index);
         let network = &mut self.networks[index];
         let relay = Arc::clone(&network.peers);
@@ -130,7 +138,7 @@
         self.targets.lock()[index] = Some(addresses.callers);
     }
 
-    /// Whether the host's node runs and was not told to stop.
+    /// Whether the host's node runs and is not stopping.
     fn is_up(&self, index: usize) -> bool {
         self.scene.hosts[index].node.is_some() && !self.stopping.contains(&index)
     }
@@ -141,7 +149,7 @@
         }
     }
 
-    /// Begins an event; one that does not fit what goes on is left out.
+    /// Begins an event, or skips it if it conflicts with the state of the fleet.
     pub async fn begin(&mut self, entry: &Entry) {
         let host = entry.host;
         match entry.event {
@@ -149,33 +157,33 @@
                 self.signal(host, Signal::TERM);
                 self.stopping.push(host);
             }
-            Event::Hangup if self.is_up(host) => self.signal(host, Signal::HUP),
+            Event::Reload if self.is_up(host) => self.signal(host, Signal::HUP),
             Event::Drain if self.leaving.is_empty() => {
                 self.scene.announce(host, State::Draining);
                 let name = self.scene.hosts[host].name.to_string();
                 self.leaving
                     .push((host, Leaving::new(name, Instant::now())));
             }
-            Event::Change => self.change().await,
+            Event::ChangePreset => self.change_preset().await,
             Event::Restart => self.scene.announce_start(host),
             Event::Kill if self.is_up(host) => {
                 self.targets.lock()[host] = None;
                 self.scene.kill(host).await;
             }
             Event::Pause if self.is_up(host) => self.signal(host, Signal::STOP),
-            Event::Peers(condition) => self.networks[host].peers.set(condition),
-            Event::LosePeers => self.networks[host].peers.lose_open_connections(),
+            Event::PeerLink(condition) => self.networks[host].peers.set(condition),
+            Event::StallPeerLinks => self.networks[host].peers.lose_open_connections(),
             Event::StoreLink(condition) => self.networks[host].store.set(condition),
-            Event::StoreDrill => self.scene.store.take_copy(),
+            Event::StoreRestore => self.scene.store.take_copy(),
             Event::TurnCold => {
-                let lasts = entry.until.saturating_sub(entry.at);
-                self.scene.hosts[host].upstream.turn_cold(lasts);
+                let duration = entry.until.saturating_sub(entry.at);
+                self.scene.hosts[host].upstream.turn_cold(duration);
             }
-            event => self.store_fault(event, true),
+            event => self.set_store_fault(event, true),
         }
     }
 
-    /// Ends an event that lasts.
+    /// Ends an event that has a duration.
     ///
     /// # Errors
     /// If a node cannot be started again.
@@ -190,51 +198,51 @@
             Event::Pause if self.scene.hosts[host].node.is_some() => {
                 self.signal(host, Signal::CONT);
             }
-            Event::Peers(_) => self.networks[host].peers.set(Condition::Normal),
+            Event::PeerLink(_) => self.networks[host].peers.set(Condition::Normal),
             Event::StoreLink(_) => self.networks[host].store.set(Condition::Normal),
-            Event::StoreDrill => self.scene.store.drill(Drill::default()).await,
-            event => self.store_fault(event, false),
+            Event::StoreRestore => self.scene.store.drill(Drill::default()).await,
+            event => self.set_store_fault(event, false),
         }
         Ok(())
     }
 
-    fn store_fault(&mut self, event: Event, begins: bool) {
+    fn set_store_fault(&mut self, event: Event, active: bool) {
         let faults = &mut self.faults;
         match event {
-            Event::StoreDown => faults.down = begins,
-            Event::StoreSlow(millis) => faults.slow_millis = if begins { millis } else { 0 },
+            Event::StoreDown => faults.down = active,
+            Event::StoreSlow(millis) => faults.slow_millis = if active { millis } else { 0 },
             Event::StoreLosesReplies(writes) => {
-                faults.lose_replies = if begins { writes } else { 0 }
+                faults.lose_replies = if active { writes } else { 0 }
             }
             Event::StoreWritesLate(millis) => {
-                faults.late_writes = u32::from(begins);
+                faults.late_writes = u32::from(active);
                 faults.late_millis = millis;
             }
-            Event::StoreSilent => faults.silent_watches = begins,
-            Event::StoreStale => faults.stale_reads = begins,
+            Event::StoreWatchesSilent => faults.silent_watches = active,
+            Event::StoreReadsStale => faults.stale_reads = active,
             _ => return,
         }
         self.scene.store.set_faults(self.faults.clone());
     }
 
-    /// Puts a new preset in force; during faults the store may refuse it.
-    async fn change(&mut self) {
-        self.changes += 1;
+    /// Puts a new preset in force; during faults the store may reject it.
+    async fn change_preset(&mut self) {
+        self.preset_changes += 1;
         let preset = Preset {
-            retry_share: f64::from(self.changes % 10) / 100.0,
+            retry_share: f64::from(self.preset_changes % 10) / 100.0,
             ..Preset::default()
         };
-        let mark = format!("change-{}", self.changes);
+        let mark = format!("change-{}", self.preset_changes);
         if let Err(error) = self.scene.put_in_force(preset, &mark).await {
             eprintln!("{mark} not accepted: {error}");
         }
     }
 
-    /// Starts again what has stopped, and looks at what must hold.
+    /// Restarts nodes that have stopped, and checks that leaving upstreams get no new requests.
     ///
     /// # Errors
     /// If a node cannot be started again.
-    pub async fn look(&mut self, broken: &mut Vec<Broken>) -> Result<(), Error> {
+    pub async fn poll(&mut self, violations: &mut Vec<Violation>) -> Result<(), Error> {
         for index in self.stopping.clone() {
             let node = &mut self.scene.hosts[index].node;
             let ended = match node {
@@ -250,61 +258,61 @@
         }
         let now = Instant::now();
         if self.scene.crashes() >= 3 {
-            self.third_end_at.get_or_insert(now);
+            self.third_crash_at.get_or_insert(now);
         }
         for (host, leaving) in &mut self.leaving {
             let requests = self.scene.hosts[*host].upstream.account().requests;
-            broken.extend(leaving.seen(now, requests));
+            violations.extend(leaving.check(now, requests));
         }
         Ok(())
     }
 
-    /// Asks every node that answers what is in force there.
-    pub async fn look_at_versions(&mut self) {
+    /// Reads the preset revision in force from every node that responds in time.
+    pub async fn poll_versions(&mut self) {
         for index in 0..self.scene.hosts.len() {
             if !self.is_up(index) {
                 continue;
             }
             let process = self.scene.process(index).id();
-            let asked = self.scene.status(index);
-            let asked = tokio::time::timeout(Duration::from_millis(100), asked).await;
-            if let Ok(Some(status)) = asked {
+            let status = self.scene.status(index);
+            let status = tokio::time::timeout(Duration::from_millis(100), status).await;
+            if let Ok(Some(status)) = status {
                 let revision = status.view.in_force.revision.0;
-                self.versions.seen(&status.host, process, revision);
+                self.versions.record(&status.host, process, revision);
             }
         }
     }
 
-    /// Most requests that each host got in a second while it was cold.
+    /// Maximum number of requests that each host got in any second while it was cold.
     #[must_use]
-    pub fn cold_most(&self) -> Vec<(String, usize)> {
+    pub fn max_cold_requests(&self) -> Vec<(String, usize)> {
         let hosts = self.scene.hosts.iter();
-        let most = hosts.map(|host| (host.name.to_string(), host.upstream.account().cold_most));
-        most.collect()
+        let requests = hosts.map(|host| (host.name.to_string(), host.upstream.account().cold_most));
+        requests.collect()
     }
 
-    /// Whether a planned stop goes on.
+    /// Whether a planned stop is in progress.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         !self.stopping.is_empty()
     }
 }
 
-fn lingers(settings: &mut Settings) {
+fn set_linger(settings: &mut Settings) {
     settings.node.linger = Duration::from_millis(800);
 }
 
-/// Nodes that ask their upstreams whether they are cold.
-fn knows_cold(settings: &mut Settings) {
-    lingers(settings);
+/// Configures nodes to check whether their upstreams are cold, and to limit the rate of cold ones.
+fn set_cold_headers(settings: &mut Settings) {
+    set_linger(settings);
     settings.upstream.instance_header = Some(String::from(upstream::SERVER));
     settings.upstream.load_header = Some(String::from(upstream::LOAD));
     settings.upstream.cold_header = Some(String::from(upstream::COLD));
     settings.warm_up.requests_per_second = Some(COLD_RATE.into());
 }
 
-/// Puts a node behind its relays.
-fn behind(peers: SocketAddr, store: SocketAddr) -> impl FnOnce(&mut Settings) {
+/// Points a node's settings at its relays.
+fn set_relay_addresses(peers: SocketAddr, store: SocketAddr) -> impl FnOnce(&mut Settings) {
     move |settings| {
         settings.listeners.peers_public = Some(peers);
         settings.store.address = store;
--- a/crates/standin/src/soak/plan.rs
+++ b/crates/standin/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What happens in one run, drawn from its seed alone.
+//! Events of one run, drawn from its seed alone.
 
 use std::time::Duration;
 
@@ -7,92 +7,94 @@
 
 use crate::relay::Condition;
 
-/// Quiet time at the beginning, so that the first fault meets open connections.
-const FIRST_AT: Duration = Duration::from_millis(700);
-/// Longest pause between two events; events last longer, so that they overlap.
-const GAP_MOST: Duration = Duration::from_millis(900);
-/// Longest time that a fault lasts.
-const LASTS_MOST: Duration = Duration::from_secs(3);
+/// Time of the first event: load runs without faults until then, so that the first fault hits open
+/// connections.
+const FIRST_EVENT_AT: Duration = Duration::from_millis(700);
+/// Maximum gap between the beginnings of two events; events may last longer, so that they overlap.
+const MAX_GAP: Duration = Duration::from_millis(900);
+/// Maximum duration of an event.
+const MAX_EVENT_DURATION: Duration = Duration::from_secs(3);
 
-/// What a run is about.
+/// Kinds of events that a run injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Planned work only: nothing may be cut off.
+    /// Planned operations only; no request may be cut off.
     Planned,
-    /// Every fault, planned work among them.
+    /// All faults, mixed with planned operations.
     Mixed,
 }
 
-/// Something done from outside.
+/// An event injected from outside the nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// A node is told to stop and started again once it has ended.
+    /// A node gets SIGTERM and is started again once its process has ended.
     Stop,
-    /// A node is told to read its settings again.
-    Hangup,
-    /// The upstream of a host announces that it leaves, and comes back at the end.
+    /// A node gets SIGHUP and reloads its settings.
+    Reload,
+    /// The upstream of a host announces that it is draining, and that it is ready at the end.
     Drain,
-    /// Operators put a new configuration in force.
-    Change,
-    /// The upstream of a host starts again under the id that it had.
+    /// Operators put a new preset in force.
+    ChangePreset,
+    /// The upstream of a host announces a restart under the same id.
     Restart,
-    /// A node is killed and started again at the end.
+    /// A node gets SIGKILL and is started again at the end.
     Kill,
-    /// A node is paused until the end.
+    /// A node is paused with SIGSTOP until the end.
     Pause,
-    /// The network before a node behaves so until the end.
-    Peers(Condition),
-    /// Connections to a node that are open now fall silent for good.
-    LosePeers,
-    /// The network between a node and the store behaves so until the end.
+    /// The network from peers to a node has this condition until the end.
+    PeerLink(Condition),
+    /// The open connections from peers to a node stay open and carry no more data.
+    StallPeerLinks,
+    /// The network between a node and the store has this condition until the end.
     StoreLink(Condition),
     /// The store is down until the end.
     StoreDown,
-    /// Calls to the store take so many milliseconds longer until the end.
+    /// Calls to the store take this many milliseconds longer until the end.
     StoreSlow(u64),
-    /// So many writes take effect and get no reply.
+    /// The next writes, this many, take effect and get no reply.
     StoreLosesReplies(u32),
-    /// Writes take effect this many milliseconds late.
+    /// A write takes effect this many milliseconds late and gets no reply.
     StoreWritesLate(u64),
-    /// Watches tell nothing more until the end.
-    StoreSilent,
-    /// Reads answer with the state at the beginning, until the end.
-    StoreStale,
-    /// The store comes back at the end from a copy taken at the beginning.
-    StoreDrill,
-    /// The upstream of a host turns cold until the end, without a word.
+    /// Watches deliver no events until the end.
+    StoreWatchesSilent,
+    /// Reads return the state at the beginning of the event until the end.
+    StoreReadsStale,
+    /// A backup of the store is taken at the beginning, and the store is restored from it at the
+    /// end.
+    StoreRestore,
+    /// The upstream of a host turns cold until the end without announcing it.
     TurnCold,
 }
 
-/// One entry of a plan.
+/// A scheduled event.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry {
-    /// When it begins, from the start of the load.
+    /// When the event begins, counted from the start of the load.
     pub at: Duration,
-    /// When it ends, for events that last.
+    /// When the event ends, for events with a duration.
     pub until: Duration,
-    /// Number of the host it concerns.
+    /// Index of the affected host.
     pub host: usize,
-    /// What happens.
+    /// The event.
     pub event: Event,
 }
 
-/// All that happens in one run.
+/// Events of one run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// What the run is about.
+    /// Kinds of events in the run.
     pub mode: Mode,
-    /// Whether a caller repeats a request that ends upstreams.
-    pub crashing: bool,
-    /// Whether upstreams turn cold and bear little then.
-    pub cold: bool,
-    /// In order of time.
+    /// Whether a caller repeats a request that crashes upstreams.
+    pub repeats_crash_request: bool,
+    /// Whether upstreams turn cold, which lowers the rate that they sustain.
+    pub has_cold_upstreams: bool,
+    /// Events in order of their beginning.
     pub entries: Vec<Entry>,
 }
 
-/// Draws the plan of a seed for so many hosts and so much time of load; every third seed is
-/// one of planned work; in some of the others a request ends upstreams, the store comes back
-/// from older copies, or upstreams turn cold.
+/// Draws the plan of a seed for a number of hosts and a duration of load. Every third seed has
+/// planned operations only; in some of the others a request crashes upstreams, the store is
+/// restored from older backups, or upstreams turn cold.
 #[must_use]
 pub fn draw(seed: u64, hosts: usize, load: Duration) -> Plan {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -102,96 +104,96 @@
         Mode::Mixed
     };
     let mut entries = Vec::new();
-    let mut at = FIRST_AT;
+    let mut at = FIRST_EVENT_AT;
     while at < load {
         let event = match mode {
-            Mode::Planned => planned(&mut rng),
-            Mode::Mixed => any(&mut rng),
+            Mode::Planned => draw_planned(&mut rng),
+            Mode::Mixed => draw_any(&mut rng),
         };
         entries.push(Entry {
             at,
-            until: at + LASTS_MOST.mul_f64(rng.random::<f64>()),
+            until: at + MAX_EVENT_DURATION.mul_f64(rng.random::<f64>()),
             host: rng.random_range(0..hosts),
             event,
         });
-        at += GAP_MOST.mul_f64(rng.random::<f64>());
+        at += MAX_GAP.mul_f64(rng.random::<f64>());
     }
     if mode == Mode::Mixed && seed % 10 == 4 {
-        entries.extend(drills(&mut rng, load));
+        entries.extend(store_restores(&mut rng, load));
         entries.sort_by_key(|entry| entry.at);
     }
-    let cold = mode == Mode::Mixed && seed % 10 == 8;
-    if cold {
-        entries.extend(cold_spells(&mut rng, hosts, load));
+    let has_cold_upstreams = mode == Mode::Mixed && seed % 10 == 8;
+    if has_cold_upstreams {
+        entries.extend(cold_periods(&mut rng, hosts, load));
         entries.sort_by_key(|entry| entry.at);
     }
     Plan {
         mode,
-        crashing: mode == Mode::Mixed && seed % 5 == 2,
-        cold,
+        repeats_crash_request: mode == Mode::Mixed && seed % 5 == 2,
+        has_cold_upstreams,
         entries,
     }
 }
 
-/// One drill of the store in each half of the load.
-fn drills(rng: &mut impl Rng, load: Duration) -> Vec<Entry> {
+/// One restore of the store in each half of the load.
+fn store_restores(rng: &mut impl Rng, load: Duration) -> Vec<Entry> {
     let half = load / 2;
-    let drill = |begins: Duration, age: f64| {
-        let at = begins + FIRST_AT;
+    let restore = |half_start: Duration, age: f64| {
+        let at = half_start + FIRST_EVENT_AT;
         Entry {
             at,
-            until: at + half.saturating_sub(FIRST_AT).mul_f64(age),
+            until: at + half.saturating_sub(FIRST_EVENT_AT).mul_f64(age),
             host: 0,
-            event: Event::StoreDrill,
+            event: Event::StoreRestore,
         }
     };
     vec![
-        drill(Duration::ZERO, rng.random()),
-        drill(half, rng.random()),
+        restore(Duration::ZERO, rng.random()),
+        restore(half, rng.random()),
     ]
 }
 
-/// One cold spell after the other, of any host.
-fn cold_spells(rng: &mut impl Rng, hosts: usize, load: Duration) -> Vec<Entry> {
-    let mut spells = Vec::new();
-    let mut at = FIRST_AT;
+/// A series of cold periods, each of a random host.
+fn cold_periods(rng: &mut impl Rng, hosts: usize, load: Duration) -> Vec<Entry> {
+    let mut periods = Vec::new();
+    let mut at = FIRST_EVENT_AT;
     while at < load {
-        spells.push(Entry {
+        periods.push(Entry {
             at,
-            until: at + LASTS_MOST.mul_f64(rng.random::<f64>()),
+            until: at + MAX_EVENT_DURATION.mul_f64(rng.random::<f64>()),
             host: rng.random_range(0..hosts),
             event: Event::TurnCold,
         });
-        at += GAP_MOST;
+        at += MAX_GAP;
     }
-    spells
+    periods
 }
 
-fn planned(rng: &mut impl Rng) -> Event {
+fn draw_planned(rng: &mut impl Rng) -> Event {
     match rng.random_range(0..4) {
         0 => Event::Stop,
-        1 => Event::Hangup,
+        1 => Event::Reload,
         2 => Event::Drain,
-        _ => Event::Change,
+        _ => Event::ChangePreset,
     }
 }
 
-fn any(rng: &mut impl Rng) -> Event {
+fn draw_any(rng: &mut impl Rng) -> Event {
     match rng.random_range(0..15) {
         0 => Event::Kill,
         1 => Event::Pause,
-        2 => Event::Peers(Condition::Cut),
-        3 => Event::Peers(Condition::Silent),
-        4 => Event::Peers(Condition::NoAnswers),
-        5 => Event::LosePeers,
+        2 => Event::PeerLink(Condition::Cut),
+        3 => Event::PeerLink(Condition::Silent),
+        4 => Event::PeerLink(Condition::NoAnswers),
+        5 => Event::StallPeerLinks,
         6 => Event::StoreLink(Condition::Silent),
         7 => Event::StoreDown,
         8 => Event::StoreSlow(rng.random_range(50..400)),
         9 => Event::StoreLosesReplies(rng.random_range(1..6)),
         10 => Event::StoreWritesLate(rng.random_range(100..2_000)),
-        11 => Event::StoreSilent,
-        12 => Event::StoreStale,
+        11 => Event::StoreWatchesSilent,
+        12 => Event::StoreReadsStale,
         13 => Event::Restart,
-        _ => planned(rng),
+        _ => draw_planned(rng),
     }
 }
--- a/crates/standin/src/soak/promises.rs
+++ b/crates/standin/src/soak/promises.rs
@@ -1,4 +1,5 @@
-//! What must hold in every run, from what callers, upstreams and operators see.
+//! Guarantees that must hold in every run, checked on what callers, upstreams and operators
+//! observe.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -6,16 +7,16 @@
 
 use mintridge_bench::caller::Told;
 
-use super::callers::{Repeat, Sent};
+use super::callers::{Record, Repeat};
 use crate::upstream::Result as Answer;
 
-/// A leaving upstream gets nothing new after this long.
-pub const LEAVES_WITHIN: Duration = Duration::from_secs(4);
+/// Time after its announcement from which a leaving upstream may get no new requests.
+pub const LEAVE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A promise that was broken.
+/// A violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Broken {
-    /// An unrepeatable request ran more than once.
+pub enum Violation {
+    /// A non-idempotent request ran more than once.
     #[error("{id} may run once and ran {runs} times")]
     RanTwice {
         /// The request.
@@ -23,183 +24,190 @@
         /// How often it ran.
         runs: u32,
     },
-    /// A caller was told "not run" of a request that ran.
-    #[error("{id} was told not run and ran")]
-    RanThough {
+    /// A caller got the outcome "not run" for a request that ran.
+    #[error("{id} was reported as not run and ran")]
+    RanDespiteNotRun {
         /// The request.
         id: String,
     },
-    /// A caller got an answer that is not that of its request.
+    /// A caller got the answer to another request.
     #[error("{id} got another request's answer")]
-    Foreign {
+    ForeignAnswer {
         /// The request.
         id: String,
     },
-    /// Planned work cut off a request.
-    #[error("{id} was cut off by planned work: {told}, {runs} runs, by {node} after {took:?}")]
+    /// A planned operation cut off a request.
+    #[error(
+        "{id} was cut off by a planned operation: {result}, {runs} runs, by {node} after {took:?}"
+    )]
     CutOff {
         /// The request.
         id: String,
-        /// What its caller was told.
-        told: String,
+        /// Result that its caller got.
+        result: String,
         /// How often it ran.
         runs: u32,
-        /// Where its node takes callers.
+        /// Caller address of its node.
         node: SocketAddr,
-        /// When its caller knew.
+        /// Time until its caller got the result.
         took: Duration,
     },
-    /// What is in force on a node reverted to something older.
-    #[error("version {after} came after {before} on {host}")]
+    /// The preset in force on a node reverted to an older revision.
+    #[error("revision {after} replaced {before} on {host}")]
     Reverted {
         /// The host.
         host: String,
-        /// The version before.
+        /// Newest revision so far.
         before: u64,
-        /// The version after.
+        /// The older revision that replaced it.
         after: u64,
     },
     /// A leaving upstream got new requests.
-    #[error("{host} left and got {requests} requests later")]
+    #[error("{host} got {requests} new requests after its time to drain")]
     ServedAfterLeaving {
         /// The host.
         host: String,
-        /// How many.
+        /// Number of new requests.
         requests: u64,
     },
-    /// A request under which three upstreams had ended went on reaching upstreams.
-    #[error("three upstreams had ended under a request, and {reached} of {sent} repeats ran later")]
-    SpreadOn {
-        /// Repeats sent after the news had had time to spread.
+    /// A request that had crashed three upstreams kept reaching upstreams.
+    #[error("a request had crashed three upstreams, and {reached} of {sent} later repeats ran")]
+    CrashesContinued {
+        /// Number of repeats sent after the quarantine had time to spread.
         sent: usize,
         /// How many of them ran.
         reached: u32,
     },
-    /// A cold upstream got more in a second than it bears.
-    #[error("{host} was cold and got {requests} requests in a second")]
+    /// A cold upstream got more requests in a second than it sustains.
+    #[error("{host} got {requests} requests in a second while it was cold")]
     ColdOverrun {
         /// The host.
         host: String,
-        /// How many.
+        /// Number of requests.
         requests: usize,
     },
-    /// After the last fault the fleet did not serve again.
-    #[error("of {sent} requests after the last fault {failed} failed")]
+    /// The fleet did not serve all requests again after the last fault.
+    #[error("{failed} of {sent} requests failed after the last fault")]
     NotRecovered {
-        /// Requests sent.
+        /// Number of requests sent.
         sent: usize,
-        /// How many of them got no answer.
+        /// Number of requests that failed.
         failed: usize,
     },
 }
 
-/// Requests a second that a cold upstream bears.
+/// Requests per second that a cold upstream sustains.
 pub const COLD_RATE: u32 = 6;
-/// It gets no more than this in any second: half as many again, and eight.
-pub const COLD_MOST: usize = 17;
+/// Maximum number of requests that a cold upstream may get in any second: 1.5 times [`COLD_RATE`],
+/// plus 8.
+pub const MAX_COLD_REQUESTS: usize = 17;
 
-/// Checks the most that each host got in a second while it was cold.
+/// Checks the maximum number of requests that each host got in a second while it was cold.
 #[must_use]
-pub fn of_cold_upstreams(most: &[(String, usize)]) -> Vec<Broken> {
-    let overrun = most.iter().filter(|(_, requests)| *requests > COLD_MOST);
-    let broken = overrun.map(|(host, requests)| Broken::ColdOverrun {
+pub fn check_cold_upstreams(max_requests: &[(String, usize)]) -> Vec<Violation> {
+    let overrun = max_requests
+        .iter()
+        .filter(|(_, requests)| *requests > MAX_COLD_REQUESTS);
+    let violations = overrun.map(|(host, requests)| Violation::ColdOverrun {
         host: host.clone(),
         requests: *requests,
     });
-    broken.collect()
+    violations.collect()
 }
 
-/// Checks what callers were told against what ran.
+/// Checks the results that callers got against the requests that ran.
 #[must_use]
-pub fn of_answers(sent: &[Sent], runs: &BTreeMap<String, u32>) -> Vec<Broken> {
-    let mut broken = Vec::new();
-    for Sent { call, told, .. } in sent {
+pub fn check_answers(records: &[Record], runs: &BTreeMap<String, u32>) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    for Record { call, result, .. } in records {
         let id = call.id.clone();
         let runs = runs.get(&id).copied().unwrap_or(0);
         if call.method == hyper::Method::POST && runs > 1 {
-            broken.push(Broken::RanTwice {
+            violations.push(Violation::RanTwice {
                 id: id.clone(),
                 runs,
             });
         }
-        if told.is_not_run() && runs > 0 {
-            broken.push(Broken::RanThough { id: id.clone() });
+        if result.is_not_run() && runs > 0 {
+            violations.push(Violation::RanDespiteNotRun { id: id.clone() });
         }
-        if let Told::Answer { body, .. } = told
-            && told.is_success()
+        if let Told::Answer { body, .. } = result
+            && result.is_success()
             && Answer::parse(body).is_none_or(|answer| answer.id != id)
         {
-            broken.push(Broken::Foreign { id });
+            violations.push(Violation::ForeignAnswer { id });
         }
     }
-    broken
+    violations
 }
 
-/// Whether a request ended without a word and did not run.
+/// Whether a connection closed without a response and its request did not run.
 #[must_use]
-pub fn ended_without_a_word(sent: &Sent, runs: &BTreeMap<String, u32>) -> bool {
-    sent.told == Told::Broken { begun: false } && !runs.contains_key(&sent.call.id)
+pub fn is_closed_unanswered(record: &Record, runs: &BTreeMap<String, u32>) -> bool {
+    record.result == Told::Broken { begun: false } && !runs.contains_key(&record.call.id)
 }
 
-/// Checks that planned work cut nothing off: each caller got an answer or a refusal as not run,
-/// or could not connect to a node that had ended.
+/// Checks that planned operations cut off no request: each caller got a successful answer or a
+/// refusal as not run, or could not connect because the node's process had ended.
 #[must_use]
-pub fn of_planned_work(sent: &[Sent], runs: &BTreeMap<String, u32>) -> Vec<Broken> {
-    let is_cut = |sent: &&Sent| {
-        let told = &sent.told;
-        !told.is_success() && !told.is_not_run() && *told != Told::NoConnection
+pub fn check_planned_work(records: &[Record], runs: &BTreeMap<String, u32>) -> Vec<Violation> {
+    let is_cut_off = |record: &&Record| {
+        let result = &record.result;
+        !result.is_success() && !result.is_not_run() && *result != Told::NoConnection
     };
-    sent.iter()
-        .filter(is_cut)
-        .map(|sent| Broken::CutOff {
-            id: sent.call.id.clone(),
-            told: format!("{:?}", sent.told),
-            runs: runs.get(&sent.call.id).copied().unwrap_or(0),
-            node: sent.node,
-            took: sent.took,
+    records
+        .iter()
+        .filter(is_cut_off)
+        .map(|record| Violation::CutOff {
+            id: record.call.id.clone(),
+            result: format!("{:?}", record.result),
+            runs: runs.get(&record.call.id).copied().unwrap_or(0),
+            node: record.node,
+            took: record.took,
         })
         .collect()
 }
 
-/// A request under which three upstreams have ended is known everywhere after this long.
-const NEWS_SPREAD_WITHIN: Duration = Duration::from_secs(3);
-/// Repeats that may run after that.
-const LATE_REPEATS_MOST: u32 = 3;
+/// Time after its third crash within which all nodes know that a request is quarantined.
+const QUARANTINE_SPREAD_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum number of repeats that may run after [`QUARANTINE_SPREAD_TIMEOUT`].
+const MAX_LATE_REPEATS: u32 = 3;
 
-/// Checks that repeats of a request that ends upstreams reach few more after the third end.
+/// Checks that few repeats of a request that crashes upstreams run once its quarantine after the
+/// third crash has had time to spread.
 #[must_use]
-pub fn of_repeats(
-    sent: &[Repeat],
-    third_end_at: Option<Instant>,
+pub fn check_repeats(
+    repeats: &[Repeat],
+    third_crash_at: Option<Instant>,
     runs: &BTreeMap<String, u32>,
-) -> Option<Broken> {
-    let known_at = third_end_at? + NEWS_SPREAD_WITHIN;
-    let late: Vec<&Repeat> = sent
+) -> Option<Violation> {
+    let quarantined_at = third_crash_at? + QUARANTINE_SPREAD_TIMEOUT;
+    let late: Vec<&Repeat> = repeats
         .iter()
-        .filter(|repeat| repeat.sent_at > known_at)
+        .filter(|repeat| repeat.sent_at > quarantined_at)
         .collect();
     let ran = |repeat: &&Repeat| runs.get(&repeat.id).copied().unwrap_or(0);
     let reached = late.iter().map(ran).sum();
-    (reached > LATE_REPEATS_MOST).then_some(Broken::SpreadOn {
+    (reached > MAX_LATE_REPEATS).then_some(Violation::CrashesContinued {
         sent: late.len(),
         reached,
     })
 }
 
-/// What is in force on each node, watched from outside.
+/// Preset revisions in force on the nodes, as observed from outside.
 #[derive(Debug, Default)]
 pub struct Versions {
     newest: HashMap<(String, u32), u64>,
-    /// What was seen to revert.
-    pub broken: Vec<Broken>,
+    /// Reversals that were observed.
+    pub violations: Vec<Violation>,
 }
 
 impl Versions {
-    /// A process of a host tells its version.
-    pub fn seen(&mut self, host: &str, process: u32, version: u64) {
+    /// Records the revision that a process of a host reports.
+    pub fn record(&mut self, host: &str, process: u32, version: u64) {
         let newest = self.newest.entry((host.to_owned(), process)).or_default();
         if version < *newest {
-            self.broken.push(Broken::Reverted {
+            self.violations.push(Violation::Reverted {
                 host: host.to_owned(),
                 before: *newest,
                 after: version,
@@ -209,34 +217,34 @@
     }
 }
 
-/// An upstream that leaves, and what it had been sent when it had to be left alone.
+/// A leaving upstream and its request count, checked once [`LEAVE_TIMEOUT`] is over.
 #[derive(Debug)]
 pub struct Leaving {
     /// The host.
     pub host: String,
-    left_at: Instant,
+    announced_at: Instant,
     requests: Option<u64>,
 }
 
 impl Leaving {
-    /// It announced that it leaves.
+    /// Creates the state of an upstream that announced at `now` that it leaves.
     #[must_use]
     pub const fn new(host: String, now: Instant) -> Self {
         Self {
             host,
-            left_at: now,
+            announced_at: now,
             requests: None,
         }
     }
 
-    /// It has been sent so many requests by now.
-    pub fn seen(&mut self, now: Instant, requests: u64) -> Option<Broken> {
-        if now < self.left_at + LEAVES_WITHIN {
+    /// Checks the number of requests that the upstream has got until `now`.
+    pub fn check(&mut self, now: Instant, requests: u64) -> Option<Violation> {
+        if now < self.announced_at + LEAVE_TIMEOUT {
             return None;
         }
         let before = *self.requests.get_or_insert(requests);
         self.requests = Some(requests);
-        (requests > before).then(|| Broken::ServedAfterLeaving {
+        (requests > before).then(|| Violation::ServedAfterLeaving {
             host: self.host.clone(),
             requests: requests - before,
         })
--- a/crates/standin/tests/soak.rs
+++ b/crates/standin/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The soak's own judgement: each promise is seen to break when it does.
+//! Checks of the soak itself: every violation of a guarantee is reported.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,25 +7,25 @@
 use hyper::{Method, StatusCode};
 use mintridge_bench::caller::{Call, Told};
 use mintridge_core::outcome::{Outcome, Reason};
-use mintridge_standin::soak::callers::{Repeat, Sent};
+use mintridge_standin::soak::callers::{Record, Repeat};
 use mintridge_standin::soak::plan::{Event, Mode, draw};
 use mintridge_standin::soak::promises::{
-    Broken, LEAVES_WITHIN, Leaving, Versions, of_answers, of_cold_upstreams, of_planned_work,
-    of_repeats,
+    LEAVE_TIMEOUT, Leaving, Versions, Violation, check_answers, check_cold_upstreams,
+    check_planned_work, check_repeats,
 };
 use rstest::rstest;
 
 const LOAD: Duration = Duration::from_secs(30);
 
-fn sent(method: Method, told: Told) -> Sent {
+fn record(method: Method, result: Told) -> Record {
     let call = Call {
         id: String::from("a"),
         method,
         ..Call::default()
     };
-    Sent {
+    Record {
         call,
-        told,
+        result,
         node: ([127, 0, 0, 1], 1).into(),
         took: Duration::ZERO,
     }
@@ -60,18 +60,18 @@
 #[case::not_run(Method::POST, refused(Outcome::NotRun), 0, None)]
 #[case::unknown_ran(Method::POST, refused(Outcome::Unknown), 1, None)]
 #[case::repeatable_twice(Method::GET, answer_of("a"), 2, None)]
-#[case::unrepeatable_twice(Method::POST, answer_of("a"), 2, Some(Broken::RanTwice { id: id(), runs: 2 }))]
-#[case::not_run_ran(Method::GET, refused(Outcome::NotRun), 1, Some(Broken::RanThough { id: id() }))]
-#[case::foreign(Method::GET, answer_of("b"), 1, Some(Broken::Foreign { id: id() }))]
-fn of_answers_sees(
+#[case::unrepeatable_twice(Method::POST, answer_of("a"), 2, Some(Violation::RanTwice { id: id(), runs: 2 }))]
+#[case::not_run_ran(Method::GET, refused(Outcome::NotRun), 1, Some(Violation::RanDespiteNotRun { id: id() }))]
+#[case::foreign(Method::GET, answer_of("b"), 1, Some(Violation::ForeignAnswer { id: id() }))]
+fn check_answers_reports(
     #[case] method: Method,
-    #[case] told: Told,
+    #[case] result: Told,
     #[case] runs: u32,
-    #[case] expected: Option<Broken>,
+    #[case] expected: Option<Violation>,
 ) {
     let runs = BTreeMap::from([(id(), runs)]);
-    let broken = of_answers(&[sent(method, told)], &runs);
-    assert_eq!(broken, expected.into_iter().collect::<Vec<_>>());
+    let violations = check_answers(&[record(method, result)], &runs);
+    assert_eq!(violations, expected.into_iter().collect::<Vec<_>>());
 }
 
 #[rstest]
@@ -79,29 +79,34 @@
 #[case::refused(refused(Outcome::NotRun), 0, 1, 0)]
 #[case::process_gone(Told::NoConnection, 0, 1, 0)]
 #[case::cut_while_it_ran(Told::Broken { begun: false }, 1, 1, 1)]
-#[case::ended_without_a_word(Told::Broken { begun: false }, 0, 1, 1)]
+#[case::closed_unanswered(Told::Broken { begun: false }, 0, 1, 1)]
 #[case::cut_again_and_again(Told::Broken { begun: false }, 0, 3, 3)]
 #[case::cut_midway(Told::Broken { begun: true }, 0, 1, 1)]
 #[case::silence(Told::Silence, 0, 1, 1)]
 #[case::unknown(refused(Outcome::Unknown), 0, 1, 1)]
-fn of_planned_work_sees(
-    #[case] told: Told,
+fn check_planned_work_reports(
+    #[case] result: Told,
     #[case] runs: u32,
     #[case] times: usize,
-    #[case] cut: usize,
+    #[case] expected: usize,
 ) {
     let ran = (runs > 0).then(|| (id(), runs));
-    let sent = vec![sent(Method::GET, told); times];
-    let broken = of_planned_work(&sent, &ran.into_iter().collect());
-    assert_eq!(broken.len(), cut);
+    let records = vec![record(Method::GET, result); times];
+    let violations = check_planned_work(&records, &ran.into_iter().collect());
+    assert_eq!(violations.len(), expected);
 }
 
-/// Three repeats may run once the third end is known; those sent before do not count.
+/// Three repeats may run after nodes had time to learn of the third crash; repeats sent before do
+/// not count.
 #[rstest]
 #[case::few(3, true, None)]
-#[case::many(4, true, Some(Broken::SpreadOn { sent: 5, reached: 4 }))]
-#[case::before_the_third_end(4, false, None)]
-fn of_repeats_sees(#[case] ran: u32, #[case] ended: bool, #[case] expected: Option<Broken>) {
+#[case::many(4, true, Some(Violation::CrashesContinued { sent: 5, reached: 4 }))]
+#[case::before_the_third_crash(4, false, None)]
+fn check_repeats_reports(
+    #[case] ran: u32,
+    #[case] crashed: bool,
+    #[case] expected: Option<Violation>,
+) {
     let now = Instant::now();
     let repeats: Vec<Repeat> = (0..10)
         .map(|n| Repeat {
@@ -111,53 +116,53 @@
         .collect();
     let early = (0..5).map(|n| (n.to_string(), 1));
     let late = (5..5 + ran).map(|n| (n.to_string(), 1));
-    let third_end_at = ended.then(|| now + Duration::from_millis(1_500));
-    let broken = of_repeats(&repeats, third_end_at, &early.chain(late).collect());
-    assert_eq!(broken, expected);
+    let third_crash_at = crashed.then(|| now + Duration::from_millis(1_500));
+    let violations = check_repeats(&repeats, third_crash_at, &early.chain(late).collect());
+    assert_eq!(violations, expected);
 }
 
 #[test]
-fn versions_see_a_reversal_within_one_process() {
+fn versions_report_a_reversal_within_one_process() {
     let mut versions = Versions::default();
     for (process, version) in [(1, 3), (1, 4), (2, 0), (2, 4)] {
-        versions.seen("h", process, version);
+        versions.record("h", process, version);
     }
-    assert_eq!(versions.broken, []);
-    versions.seen("h", 2, 3);
-    let reverted = Broken::Reverted {
+    assert_eq!(versions.violations, []);
+    versions.record("h", 2, 3);
+    let reverted = Violation::Reverted {
         host: String::from("h"),
         before: 4,
         after: 3,
     };
-    assert_eq!(versions.broken, [reverted]);
+    assert_eq!(versions.violations, [reverted]);
 }
 
 #[test]
-fn leaving_sees_requests_after_its_time() {
+fn leaving_reports_requests_after_the_timeout() {
     let now = Instant::now();
     let mut leaving = Leaving::new(String::from("h"), now);
-    assert_eq!(leaving.seen(now, 10), None);
-    assert_eq!(leaving.seen(now + LEAVES_WITHIN, 12), None);
-    let later = now + LEAVES_WITHIN + Duration::from_secs(1);
-    let expected = Broken::ServedAfterLeaving {
+    assert_eq!(leaving.check(now, 10), None);
+    assert_eq!(leaving.check(now + LEAVE_TIMEOUT, 12), None);
+    let later = now + LEAVE_TIMEOUT + Duration::from_secs(1);
+    let expected = Violation::ServedAfterLeaving {
         host: String::from("h"),
         requests: 1,
     };
-    assert_eq!(leaving.seen(later, 13), Some(expected));
+    assert_eq!(leaving.check(later, 13), Some(expected));
 }
 
 #[test]
-fn of_cold_upstreams_sees_what_is_beyond_the_bound() {
-    let most = [(String::from("a"), 17), (String::from("b"), 18)];
-    let overrun = Broken::ColdOverrun {
+fn check_cold_upstreams_reports_requests_beyond_the_bound() {
+    let max_requests = [(String::from("a"), 17), (String::from("b"), 18)];
+    let overrun = Violation::ColdOverrun {
         host: String::from("b"),
         requests: 18,
     };
-    assert_eq!(of_cold_upstreams(&most), [overrun]);
+    assert_eq!(check_cold_upstreams(&max_requests), [overrun]);
 }
 
 #[test]
-fn draw_gives_one_plan_for_one_seed() {
+fn draw_is_deterministic_per_seed() {
     for seed in 0..6 {
         let plan = draw(seed, 5, LOAD);
         assert_eq!(plan, draw(seed, 5, LOAD));
@@ -167,15 +172,15 @@
 }
 
 #[test]
-fn draw_gives_planned_work_alone_to_every_third_seed() {
+fn draw_returns_only_planned_operations_for_every_third_seed() {
     let plan = draw(3, 5, LOAD);
     assert_eq!(plan.mode, Mode::Planned);
-    let planned = |event| {
+    let is_planned = |event| {
         matches!(
             event,
-            Event::Stop | Event::Hangup | Event::Drain | Event::Change
+            Event::Stop | Event::Reload | Event::Drain | Event::ChangePreset
         )
     };
-    assert!(plan.entries.iter().all(|entry| planned(entry.event)));
+    assert!(plan.entries.iter().all(|entry| is_planned(entry.event)));
     assert_eq!(draw(4, 5, LOAD).mode, Mode::Mixed);
 }
