--- a/crates/standin/src/bin/store.rs
+++ b/crates/standin/src/bin/store.rs
@@ -1,4 +1,4 @@
-//! `standin-store`: the platform's store as a process.
+//! `standin-store`: runs the stand-in for the platform's store as a process.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
--- a/crates/standin/src/cost.rs
+++ b/crates/standin/src/cost.rs
@@ -1,4 +1,4 @@
-//! What the node processes of a scene cost, read from the kernel.
+//! Resource usage of a scene's node processes, read from `/proc`.
 
 use std::fs;
 use std::time::{Duration, Instant};
@@ -6,27 +6,27 @@
 use crate::scene::{Running, Scene};
 use crate::store::Calls;
 
-/// Clock ticks a second in `/proc`, fixed on Linux.
-const TICKS: u64 = 100;
+/// Clock ticks per second in `/proc`, fixed on Linux.
+const TICKS_PER_SECOND: u64 = 100;
 
-/// Sums over all node processes, and the loopback's counter.
+/// Sums over all node processes, and the byte counter of the loopback device.
 #[derive(Clone, Debug)]
 pub struct Cost {
-    at: Instant,
+    read_at: Instant,
     nodes: u64,
-    processor: Duration,
-    /// Resident memory.
+    cpu_time: Duration,
+    /// Resident memory in bytes.
     pub resident_bytes: u64,
     loopback_bytes: u64,
     exchange_bytes: f64,
 }
 
-/// What was spent between two readings.
+/// Usage between two readings.
 #[derive(Clone, Debug)]
-pub struct Spent {
-    took: Duration,
+pub struct Usage {
+    elapsed: Duration,
     nodes: u64,
-    processor: Duration,
+    cpu_time: Duration,
     resident_bytes: u64,
     loopback_bytes: u64,
     exchange_bytes: f64,
@@ -36,9 +36,9 @@
     /// Reads the kernel's counters.
     pub async fn of(scene: &Scene) -> Self {
         let mut cost = Self {
-            at: Instant::now(),
+            read_at: Instant::now(),
             nodes: 0,
-            processor: Duration::ZERO,
+            cpu_time: Duration::ZERO,
             resident_bytes: 0,
             loopback_bytes: loopback_bytes(),
             exchange_bytes: 0.0,
@@ -48,28 +48,28 @@
                 continue;
             };
             cost.nodes += 1;
-            cost.processor += processor(process.id());
+            cost.cpu_time += cpu_time(process.id());
             cost.resident_bytes += resident(process.id());
             cost.exchange_bytes += scene.counter(index, "mintridge_exchange_bytes_total").await;
         }
-        cost.at = Instant::now();
+        cost.read_at = Instant::now();
         cost
     }
 
-    /// What was spent since an earlier reading.
+    /// Returns the usage since an earlier reading.
     #[must_use]
-    pub fn since(&self, earlier: &Self) -> Spent {
-        Spent {
-            took: self.at - earlier.at,
+    pub fn since(&self, earlier: &Self) -> Usage {
+        Usage {
+            elapsed: self.read_at - earlier.read_at,
             nodes: self.nodes,
-            processor: self.processor.saturating_sub(earlier.processor),
+            cpu_time: self.cpu_time.saturating_sub(earlier.cpu_time),
             resident_bytes: self.resident_bytes,
             loopback_bytes: self.loopback_bytes - earlier.loopback_bytes,
             exchange_bytes: self.exchange_bytes - earlier.exchange_bytes,
         }
     }
 
-    /// Resident memory of one node, for people.
+    /// Formats the mean resident memory of a node.
     #[must_use]
     pub fn memory(&self) -> String {
         format!("{:.1} MiB", mebibytes(self.resident_bytes, self.nodes))
@@ -77,26 +77,26 @@
 }
 
 #[allow(clippy::cast_precision_loss)]
-impl Spent {
-    /// How long was measured.
+impl Usage {
+    /// Time between the readings, in seconds.
     #[must_use]
     pub const fn seconds(&self) -> f64 {
-        self.took.as_secs_f64()
+        self.elapsed.as_secs_f64()
     }
 
-    /// Processor time for each of `count` calls, in microseconds.
+    /// CPU time per call for `count` calls, in microseconds.
     #[must_use]
     pub fn micros_per(&self, count: u64) -> f64 {
-        self.processor.as_secs_f64() * 1e6 / count as f64
+        self.cpu_time.as_secs_f64() * 1e6 / count as f64
     }
 
-    /// The cost of one node, for people.
+    /// Formats the mean usage of a node.
     #[must_use]
     pub fn per_node(&self) -> String {
         let scale = self.seconds() * self.nodes as f64;
         format!(
             "core {:.2}%, memory {:.1} MiB, exchange messages {:.0} B/s, all loopback {:.0} B/s a node",
-            100.0 * self.processor.as_secs_f64() / scale,
+            100.0 * self.cpu_time.as_secs_f64() / scale,
             mebibytes(self.resident_bytes, self.nodes),
             self.exchange_bytes / scale,
             self.loopback_bytes as f64 / scale,
@@ -104,7 +104,7 @@
     }
 }
 
-/// Store calls between two readings, open watches included.
+/// Returns the number of store calls between two readings, including opened watches.
 #[must_use]
 #[allow(clippy::cast_precision_loss)]
 pub fn calls_since(now: &Calls, earlier: &Calls) -> f64 {
@@ -117,7 +117,7 @@
     bytes as f64 / nodes.max(1) as f64 / 1_048_576.0
 }
 
-fn processor(pid: u32) -> Duration {
+fn cpu_time(pid: u32) -> Duration {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let after_name = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
     let fields: Vec<u64> = after_name
@@ -125,10 +125,10 @@
         .map(|field| field.parse().unwrap_or(0))
         .collect();
     let ticks = fields.get(11).unwrap_or(&0) + fields.get(12).unwrap_or(&0);
-    Duration::from_millis(ticks * 1000 / TICKS)
+    Duration::from_millis(ticks * 1000 / TICKS_PER_SECOND)
 }
 
-/// Resident memory of a process, in bytes; 0 if it is gone.
+/// Returns the resident memory of a process in bytes, or 0 if the process is gone.
 #[must_use]
 pub fn resident(pid: u32) -> u64 {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what mintridge meets: the platform's store, an upstream, and a
-//! network between two processes that can be cut. For tests and trials only.
+//! Stand-ins for the systems around mintridge: the platform's store, an upstream, and a network
+//! between two processes with injectable faults. For tests and measurements only.
 
 pub mod announcer;
 pub mod cost;
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -1,4 +1,4 @@
-//! A node as a process of its own, that can be killed, frozen and woken.
+//! A node as a separate process that can be killed, paused and resumed.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -13,23 +13,24 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 
-/// Lines kept of the logs of one process: minutes of a test in which many requests fail.
-const LINES_MOST: usize = 10_000;
+/// Maximum number of log lines captured from one process: enough for minutes of a test in which
+/// many requests fail.
+const MAX_LOG_LINES: usize = 10_000;
 
 /// A running process; killed when dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
     addresses: Addresses,
-    settings: PathBuf,
+    settings_path: PathBuf,
     logs: Arc<Mutex<Vec<String>>>,
 }
 
 impl Process {
-    /// Starts the node's binary and reads from its log where it listens.
+    /// Starts the node binary and reads its listening addresses from its log.
     ///
     /// # Errors
-    /// If it does not start.
+    /// If the process does not start.
     pub fn start(binary: &Path, settings: &Settings) -> io::Result<Self> {
         let file = write_settings(settings)?;
         let mut child = Command::new(binary)
@@ -40,86 +41,86 @@
         let mut lines = BufReader::new(output).lines();
         let addresses = loop {
             let line = lines.next().ok_or(io::ErrorKind::UnexpectedEof)??;
-            if let Some(addresses) = addresses(&line) {
+            if let Some(addresses) = parse_addresses(&line) {
                 break addresses;
             }
             eprintln!("{line}");
         };
-        let show = env::var_os("SHOW_NODE_LOGS").is_some();
+        let show_logs = env::var_os("SHOW_NODE_LOGS").is_some();
         let logs = Arc::new(Mutex::new(Vec::new()));
-        let kept = Arc::clone(&logs);
+        let captured = Arc::clone(&logs);
         thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
-                if show {
+                if show_logs {
                     eprintln!("{line}");
                 }
-                let mut kept = kept.lock();
-                if kept.len() < LINES_MOST {
-                    kept.push(line);
+                let mut captured = captured.lock();
+                if captured.len() < MAX_LOG_LINES {
+                    captured.push(line);
                 }
             }
         });
         Ok(Self {
             child,
             addresses,
-            settings: file,
+            settings_path: file,
             logs,
         })
     }
 
-    /// Where it listens.
+    /// Addresses that the node listens on.
     #[must_use]
     pub const fn addresses(&self) -> &Addresses {
         &self.addresses
     }
 
-    /// Writes other text into its settings file, which it may read again.
+    /// Replaces the text of the settings file, which the node reads on a reload.
     ///
     /// # Errors
     /// If the file cannot be written.
     pub fn rewrite_settings(&self, text: &str) -> io::Result<()> {
-        fs::write(&self.settings, text)
+        fs::write(&self.settings_path, text)
     }
 
-    /// Its settings file as it stands.
+    /// Returns the current text of the settings file.
     ///
     /// # Errors
     /// If the file cannot be read.
     pub fn settings(&self) -> io::Result<String> {
-        fs::read_to_string(&self.settings)
+        fs::read_to_string(&self.settings_path)
     }
 
-    /// What it has written since its start, up to a bound.
+    /// Returns the lines that the process logged after its start message, up to a fixed number.
     #[must_use]
     pub fn logs(&self) -> Vec<String> {
         self.logs.lock().clone()
     }
 
-    /// Its number.
+    /// Process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal to this process alone.
+    /// Sends a signal to this process only.
     ///
     /// # Errors
-    /// If it is gone.
+    /// If the process is gone.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         let pid = pid.ok_or(io::ErrorKind::NotFound)?;
         Ok(kill_process(pid, signal)?)
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Waits for its end.
+    /// Waits until the process ends.
     ///
     /// # Errors
-    /// If it cannot be waited for.
+    /// If waiting fails.
     pub fn wait(&mut self) -> io::Result<ExitStatus> {
         self.child.wait()
     }
@@ -129,7 +130,7 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = fs::remove_file(&self.settings);
+        let _ = fs::remove_file(&self.settings_path);
     }
 }
 
@@ -141,8 +142,8 @@
     Ok(path)
 }
 
-/// The addresses in the log line that tells of the start.
-fn addresses(line: &str) -> Option<Addresses> {
+/// Returns the addresses if `line` is the log message of the node's start.
+fn parse_addresses(line: &str) -> Option<Addresses> {
     let line: Value = serde_json::from_str(line).ok()?;
     if line.get("message")?.as_str()? != "node started" {
         return None;
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -1,4 +1,4 @@
-//! A network between two processes: a relay that can be cut, slow or fall silent.
+//! A network between two processes: a TCP relay that can be cut, delayed or stalled.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,74 +12,74 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-const CHUNK: usize = 16 * 1024;
-/// Chunks on their way at once in one direction of a connection.
-const ON_THE_WAY_MOST: usize = 256;
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Maximum number of chunks in flight in one direction of a connection.
+const MAX_IN_FLIGHT_CHUNKS: usize = 256;
 
-/// State of the network.
+/// Condition of the network.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Condition {
-    /// Everything passes.
+    /// All data passes.
     #[default]
     Normal,
-    /// Open connections are broken and new ones refused.
+    /// Open connections are closed, and new ones are closed at once.
     Cut,
-    /// Nothing passes, and nobody is told; new connections hang too.
+    /// No data passes and no connection is closed; new connections hang as well.
     Silent,
-    /// What callers send passes, and nothing comes back.
+    /// Data from clients passes, and no data passes back.
     NoAnswers,
-    /// Everything passes, and takes so many milliseconds on its way.
+    /// All data passes with a delay of this many milliseconds in each direction.
     Slow(u64),
 }
 
-/// A relay from one address to another.
+/// A TCP relay from one address to another.
 #[derive(Debug)]
 pub struct Relay {
     condition: watch::Sender<Condition>,
-    lost: Mutex<watch::Sender<bool>>,
-    carried: AtomicUsize,
+    stalled: Mutex<watch::Sender<bool>>,
+    forwarded_bytes: AtomicUsize,
 }
 
 impl Default for Relay {
     fn default() -> Self {
         Self {
             condition: watch::Sender::new(Condition::Normal),
-            lost: Mutex::new(watch::Sender::new(false)),
-            carried: AtomicUsize::new(0),
+            stalled: Mutex::new(watch::Sender::new(false)),
+            forwarded_bytes: AtomicUsize::new(0),
         }
     }
 }
 
 impl Relay {
-    /// Changes the condition for all connections, present and future.
+    /// Sets the condition of all open and future connections.
     pub fn set(&self, condition: Condition) {
         self.condition.send_replace(condition);
     }
 
-    /// Loses track of the connections open now: they stay open and nothing passes on
-    /// them ever again, while new ones work.
+    /// Stalls the open connections: they stay open and no data passes on them again, while new
+    /// connections work.
     pub fn lose_open_connections(&self) {
-        let mut lost = self.lost.lock();
-        lost.send_replace(true);
-        *lost = watch::Sender::new(false);
+        let mut stalled = self.stalled.lock();
+        stalled.send_replace(true);
+        *stalled = watch::Sender::new(false);
     }
 
-    /// Bytes carried to the target so far.
+    /// Number of bytes forwarded to the target.
     #[must_use]
     pub fn carried(&self) -> usize {
-        self.carried.load(Ordering::Relaxed)
+        self.forwarded_bytes.load(Ordering::Relaxed)
     }
 
-    /// Relays from `listener` to `target` until dropped.
+    /// Relays connections from `listener` to `target` until dropped.
     pub async fn run(self: Arc<Self>, listener: TcpListener, target: SocketAddr) {
-        while let Ok((near, _)) = listener.accept().await {
+        while let Ok((client, _)) = listener.accept().await {
             let relay = Arc::clone(&self);
-            tokio::spawn(async move { relay.carry(near, target).await });
+            tokio::spawn(async move { relay.forward(client, target).await });
         }
     }
 
-    async fn carry(&self, near: TcpStream, target: SocketAddr) {
+    async fn forward(&self, client: TcpStream, target: SocketAddr) {
         let mut condition = self.condition.subscribe();
         if condition
             .wait_for(|now| *now != Condition::Silent)
@@ -91,38 +91,38 @@
         if *condition.borrow() == Condition::Cut {
             return;
         }
-        let Ok(far) = TcpStream::connect(target).await else {
+        let Ok(server) = TcpStream::connect(target).await else {
             return;
         };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let lost = self.lost.lock().subscribe();
-        let (near_read, near_write) = near.into_split();
-        let (far_read, far_write) = far.into_split();
-        let there = Way {
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let stalled = self.stalled.lock().subscribe();
+        let (client_read, client_write) = client.into_split();
+        let (server_read, server_write) = server.into_split();
+        let outbound = Direction {
             condition: condition.clone(),
-            lost: lost.clone(),
-            passes: passes_there,
-            carried: Some(&self.carried),
+            stalled: stalled.clone(),
+            passes: passes_outbound,
+            forwarded_bytes: Some(&self.forwarded_bytes),
         };
-        let back = Way {
+        let inbound = Direction {
             condition: condition.clone(),
-            lost,
-            passes: passes_back,
-            carried: None,
+            stalled,
+            passes: passes_inbound,
+            forwarded_bytes: None,
         };
         tokio::select! {
-            () = there.pump(near_read, far_write) => {}
-            () = back.pump(far_read, near_write) => {}
+            () = outbound.pump(client_read, server_write) => {}
+            () = inbound.pump(server_read, client_write) => {}
             () = until_cut(condition) => {}
         }
     }
 }
 
-fn passes_there(condition: Condition) -> bool {
+fn passes_outbound(condition: Condition) -> bool {
     condition != Condition::Silent
 }
 
-const fn passes_back(condition: Condition) -> bool {
+const fn passes_inbound(condition: Condition) -> bool {
     !matches!(condition, Condition::Silent | Condition::NoAnswers)
 }
 
@@ -138,30 +138,30 @@
 }
 
 /// One direction of a connection.
-struct Way<'a> {
+struct Direction<'a> {
     condition: watch::Receiver<Condition>,
-    lost: watch::Receiver<bool>,
+    stalled: watch::Receiver<bool>,
     passes: fn(Condition) -> bool,
-    carried: Option<&'a AtomicUsize>,
+    forwarded_bytes: Option<&'a AtomicUsize>,
 }
 
-/// Bytes on their way, and when they arrive.
+/// Bytes in flight, and when they arrive.
 struct Chunk {
     arrives_at: Instant,
     bytes: Vec<u8>,
 }
 
-impl Way<'_> {
-    /// Carries until one side ends; what was on its way arrives first.
+impl Direction<'_> {
+    /// Forwards until one side closes; chunks in flight are delivered first.
     async fn pump(self, from: OwnedReadHalf, to: OwnedWriteHalf) {
-        let (sender, chunks) = mpsc::channel(ON_THE_WAY_MOST);
-        tokio::join!(self.take(from, sender), deliver(chunks, to));
+        let (sender, chunks) = mpsc::channel(MAX_IN_FLIGHT_CHUNKS);
+        tokio::join!(self.read_chunks(from, sender), write_chunks(chunks, to));
     }
 
-    async fn take(mut self, mut from: OwnedReadHalf, sender: mpsc::Sender<Chunk>) {
-        let mut chunk = vec![0; CHUNK];
-        while let Ok(read @ 1..) = from.read(&mut chunk).await {
-            if *self.lost.borrow() {
+    async fn read_chunks(mut self, mut from: OwnedReadHalf, sender: mpsc::Sender<Chunk>) {
+        let mut buffer = vec![0; CHUNK_BYTES];
+        while let Ok(read @ 1..) = from.read(&mut buffer).await {
+            if *self.stalled.borrow() {
                 std::future::pending::<()>().await;
             }
             if self
@@ -172,24 +172,24 @@
             {
                 return;
             }
-            if let Some(carried) = self.carried {
-                carried.fetch_add(read, Ordering::Relaxed);
+            if let Some(forwarded_bytes) = self.forwarded_bytes {
+                forwarded_bytes.fetch_add(read, Ordering::Relaxed);
             }
-            let on_its_way = Chunk {
+            let chunk = Chunk {
                 arrives_at: Instant::now() + delay(*self.condition.borrow()),
-                bytes: chunk[..read].to_vec(),
+                bytes: buffer[..read].to_vec(),
             };
-            if sender.send(on_its_way).await.is_err() {
+            if sender.send(chunk).await.is_err() {
                 return;
             }
         }
-        if *self.lost.borrow() {
+        if *self.stalled.borrow() {
             std::future::pending::<()>().await;
         }
     }
 }
 
-async fn deliver(mut chunks: mpsc::Receiver<Chunk>, mut to: OwnedWriteHalf) {
+async fn write_chunks(mut chunks: mpsc::Receiver<Chunk>, mut to: OwnedWriteHalf) {
     while let Some(chunk) = chunks.recv().await {
         tokio::time::sleep_until(chunk.arrives_at.into()).await;
         if to.write_all(&chunk.bytes).await.is_err() {
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,5 +1,5 @@
-//! The platform's store: compare-and-swap, leases, watches, and faults on command. [`serving`]
-//! speaks for it over HTTP, [`drill`] brings it back from an older copy.
+//! The platform's store: compare-and-swap, leases, watches, and faults that tests inject.
+//! [`serving`] exposes it over HTTP, [`drill`] restores it from an older backup.
 
 pub mod drill;
 mod serving;
@@ -14,37 +14,37 @@
 
 pub use self::serving::run;
 
-/// Path that reads and replaces the faults.
+/// Path that replaces the faults in force.
 pub const FAULTS: &str = "/standin/faults";
-/// Path that reads the counters.
+/// Path that returns the call counters.
 pub const CALLS: &str = "/standin/calls";
-const BODY_MOST: usize = 2 * 1024 * 1024;
-const EVENTS_KEPT: usize = 1024;
+const MAX_BODY_BYTES: usize = 2 * 1024 * 1024;
+const EVENT_BUFFER: usize = 1024;
 
-/// Faults in force; all off by default.
+/// Injected faults; all off by default.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every call is refused with status 503 and watches are cut.
+    /// Every call is answered with status 503, and open watches are closed.
     pub down: bool,
-    /// Every call takes this much longer.
+    /// Extra latency of every call.
     pub slow_millis: u64,
-    /// So many next writes take effect and get no reply.
+    /// This many of the next writes take effect and get no reply.
     pub lose_replies: u32,
-    /// So many next writes take effect and are answered with status 503, as by a store
-    /// whose own members lost each other.
+    /// This many of the next writes take effect and are answered with status 503, as by a store
+    /// whose own members are partitioned.
     pub deny_writes: u32,
-    /// So many next writes take effect only after `late_millis`, and get no reply.
+    /// This many of the next writes take effect only after `late_millis`, and get no reply.
     pub late_writes: u32,
-    /// See `late_writes`.
+    /// Delay of the writes that `late_writes` counts.
     pub late_millis: u64,
-    /// Open watches stay open and tell nothing more.
+    /// Watches stay open and deliver no changes.
     pub silent_watches: bool,
-    /// Reads answer with the state at the time this was set.
+    /// Reads return the keys as they were when this fault was set.
     pub stale_reads: bool,
 }
 
-/// Calls counted by kind.
+/// Number of calls by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Calls {
     /// Range reads.
@@ -53,16 +53,16 @@
     pub writes: u64,
     /// Lease grants, renewals and revocations.
     pub leases: u64,
-    /// Watches opened.
+    /// Opened watches.
     pub watches: u64,
 }
 
-/// The store with its data, shared by its connections.
+/// The store with its data, shared by all connections.
 #[derive(Debug)]
 pub struct Store {
     inner: Mutex<Inner>,
     events: broadcast::Sender<wire::KeyValue>,
-    cut: watch::Sender<u64>,
+    watch_cuts: watch::Sender<u64>,
 }
 
 #[derive(Debug, Default)]
@@ -71,8 +71,8 @@
     calls: Calls,
     data: Data,
     snapshot: Option<BTreeMap<Vec<u8>, wire::KeyValue>>,
-    copy: Option<Data>,
-    /// Rises by one each time the store comes back from a copy.
+    backup: Option<Data>,
+    /// Number of restores from a backup.
     epoch: u64,
 }
 
@@ -87,15 +87,15 @@
 #[derive(Clone, Debug)]
 struct Lease {
     time_to_live: Duration,
-    lapses_at: Instant,
+    expires_at: Instant,
 }
 
 impl Default for Store {
     fn default() -> Self {
         Self {
             inner: Mutex::default(),
-            events: broadcast::Sender::new(EVENTS_KEPT),
-            cut: watch::Sender::new(0),
+            events: broadcast::Sender::new(EVENT_BUFFER),
+            watch_cuts: watch::Sender::new(0),
         }
     }
 }
@@ -105,11 +105,11 @@
     pub fn set_faults(&self, faults: Faults) {
         let mut inner = self.inner.lock();
         inner.snapshot = faults.stale_reads.then(|| {
-            let kept = inner.snapshot.take();
-            kept.unwrap_or_else(|| inner.data.keys.clone())
+            let existing = inner.snapshot.take();
+            existing.unwrap_or_else(|| inner.data.keys.clone())
         });
         if faults.down && !inner.faults.down {
-            self.cut.send_modify(|cuts| *cuts += 1);
+            self.watch_cuts.send_modify(|cuts| *cuts += 1);
         }
         inner.faults = faults;
     }
@@ -120,7 +120,7 @@
         self.inner.lock().calls
     }
 
-    /// Sets a key from outside the API, as a restored backup or a stray hand would.
+    /// Sets a key without the API, as a restored backup or a manual change would.
     pub fn overwrite(&self, key: &str, value: &[u8]) {
         let put = wire::Put {
             key: key.into(),
@@ -131,14 +131,14 @@
         let _ = self.events.send(changed);
     }
 
-    /// Deletes a key from outside the API.
+    /// Deletes a key without the API.
     pub fn remove(&self, key: &str) {
         let data = &mut self.inner.lock().data;
         data.keys.remove(key.as_bytes());
         data.revision += 1;
     }
 
-    /// Deletes all keys that begin with `prefix` from outside the API.
+    /// Deletes all keys that begin with `prefix` without the API.
     pub fn remove_all(&self, prefix: &str) {
         let data = &mut self.inner.lock().data;
         data.keys
@@ -146,26 +146,26 @@
         data.revision += 1;
     }
 
-    /// Value of a key.
+    /// Returns the value of a key.
     #[must_use]
     pub fn value(&self, key: &str) -> Option<Vec<u8>> {
         let mut inner = self.inner.lock();
-        inner.data.lapse(Instant::now());
+        inner.data.expire_leases(Instant::now());
         let found = inner.data.keys.get(key.as_bytes());
         found.map(|found| found.value.clone())
     }
 
-    /// How many keys begin with `prefix`.
+    /// Counts the keys that begin with `prefix`.
     #[must_use]
     pub fn count(&self, prefix: &str) -> usize {
         let mut inner = self.inner.lock();
-        inner.data.lapse(Instant::now());
+        inner.data.expire_leases(Instant::now());
         let keys = inner.data.keys.keys();
         keys.filter(|key| key.starts_with(prefix.as_bytes()))
             .count()
     }
 
-    /// Sends an event to every open watch again, as after a reconnection.
+    /// Sends an event to the open watches again, as after a reconnect.
     pub fn replay(&self, key: &str, value: &[u8]) {
         let _ = self.events.send(wire::KeyValue {
             key: key.into(),
@@ -174,22 +174,22 @@
         });
     }
 
-    /// Values written from the revision on at which a watch is to begin.
-    fn missed(&self, asked: &wire::WatchCreate) -> Vec<wire::KeyValue> {
+    /// Returns the values written since the start revision of a watch.
+    fn missed_changes(&self, request: &wire::WatchCreate) -> Vec<wire::KeyValue> {
         let inner = self.inner.lock();
-        if asked.start_revision == 0 || inner.faults.silent_watches {
+        if request.start_revision == 0 || inner.faults.silent_watches {
             return vec![];
         }
         let keys = inner.data.keys.values();
-        keys.filter(|kv| covers(asked, &kv.key) && kv.mod_revision >= asked.start_revision)
+        keys.filter(|kv| is_watched(request, &kv.key) && kv.mod_revision >= request.start_revision)
             .cloned()
             .collect()
     }
 
     fn write(&self, txn: wire::Txn) -> wire::TxnReply {
         let mut inner = self.inner.lock();
-        inner.data.lapse(Instant::now());
-        let (reply, changed) = inner.data.run(txn);
+        inner.data.expire_leases(Instant::now());
+        let (reply, changed) = inner.data.execute(txn);
         let silent = inner.faults.silent_watches;
         drop(inner);
         if silent {
@@ -217,13 +217,13 @@
         stored
     }
 
-    fn run(&mut self, txn: wire::Txn) -> (wire::TxnReply, Vec<wire::KeyValue>) {
-        let succeeded = txn.compare.iter().all(|compare| self.holds(compare));
+    fn execute(&mut self, txn: wire::Txn) -> (wire::TxnReply, Vec<wire::KeyValue>) {
+        let succeeded = txn.compare.iter().all(|compare| self.is_met(compare));
         let operations = if succeeded { txn.success } else { txn.failure };
         let mut changed = Vec::new();
         let mut responses = Vec::new();
         for operation in operations {
-            responses.push(self.operate(operation, &mut changed));
+            responses.push(self.apply(operation, &mut changed));
         }
         let reply = wire::TxnReply {
             header: self.header(),
@@ -233,7 +233,7 @@
         (reply, changed)
     }
 
-    fn operate(
+    fn apply(
         &mut self,
         operation: wire::Operation,
         changed: &mut Vec<wire::KeyValue>,
@@ -257,7 +257,7 @@
         wire::OperationReply::default()
     }
 
-    fn holds(&self, compare: &wire::Compare) -> bool {
+    fn is_met(&self, compare: &wire::Compare) -> bool {
         let found = self.keys.get(&compare.key);
         match compare.target {
             wire::Target::Mod => {
@@ -271,10 +271,10 @@
         }
     }
 
-    /// Ends leases that were not renewed, and deletes their keys.
-    fn lapse(&mut self, now: Instant) {
+    /// Removes expired leases and their keys.
+    fn expire_leases(&mut self, now: Instant) {
         let before = self.leases.len();
-        self.leases.retain(|_, lease| now < lease.lapses_at);
+        self.leases.retain(|_, lease| now < lease.expires_at);
         if self.leases.len() == before {
             return;
         }
@@ -289,7 +289,7 @@
         let time_to_live = Duration::from_secs(u64::try_from(seconds).unwrap_or(0));
         let lease = Lease {
             time_to_live,
-            lapses_at: Instant::now() + time_to_live,
+            expires_at: Instant::now() + time_to_live,
         };
         self.leases.insert(self.next_lease, lease);
         wire::Lease {
@@ -299,11 +299,11 @@
     }
 
     fn renew(&mut self, id: i64) -> wire::Lease {
-        self.lapse(Instant::now());
+        self.expire_leases(Instant::now());
         let Some(lease) = self.leases.get_mut(&id) else {
             return wire::Lease { id, ttl: 0 };
         };
-        lease.lapses_at = Instant::now() + lease.time_to_live;
+        lease.expires_at = Instant::now() + lease.time_to_live;
         let ttl = i64::try_from(lease.time_to_live.as_secs()).unwrap_or(i64::MAX);
         wire::Lease { id, ttl }
     }
@@ -329,9 +329,9 @@
         .collect()
 }
 
-fn covers(asked: &wire::WatchCreate, key: &[u8]) -> bool {
-    if asked.range_end.is_empty() {
-        return key == asked.key;
+fn is_watched(request: &wire::WatchCreate, key: &[u8]) -> bool {
+    if request.range_end.is_empty() {
+        return key == request.key;
     }
-    (asked.key.as_slice()..asked.range_end.as_slice()).contains(&key)
+    (request.key.as_slice()..request.range_end.as_slice()).contains(&key)
 }
--- a/crates/standin/src/store/drill.rs
+++ b/crates/standin/src/store/drill.rs
@@ -1,5 +1,5 @@
-//! The store comes back from an older copy: what was written since is gone, leases too, and
-//! revisions and ids of leases are given out again.
+//! Restore of the store from an older backup: later writes and leases are lost, and revisions and
+//! lease ids are assigned again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,43 +8,43 @@
 
 use super::{Data, Faults, Store};
 
-/// Header of every answer: how often the store has come back from a copy.
+/// Response header with the number of times the store has been restored from a backup.
 pub const EPOCH: &str = "store-era";
 
-/// Keys of operators beside those of presets begin with this.
-pub const OPERATORS: &str = "operators/";
+/// Prefix of keys that operators write beside those of presets.
+pub const OPERATOR_KEY_PREFIX: &str = "operators/";
 
-/// How the store goes away and comes back.
+/// Timing of a restore.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Drill {
-    /// How long it is away.
-    pub away_for: Duration,
-    /// How long after its return operators write again what they had written since the copy.
+    /// How long the store is down.
+    pub downtime: Duration,
+    /// Delay after the restore until operators repeat the writes that were lost.
     pub operators_repeat_after: Duration,
 }
 
 impl Default for Drill {
     fn default() -> Self {
         Self {
-            away_for: Duration::from_millis(300),
+            downtime: Duration::from_millis(300),
             operators_repeat_after: Duration::from_millis(500),
         }
     }
 }
 
 impl Store {
-    /// Takes the copy from which the store will come back.
+    /// Takes the backup that the next restore uses.
     pub fn take_copy(&self) {
         let mut inner = self.inner.lock();
-        inner.copy = Some(inner.data.clone());
+        inner.backup = Some(inner.data.clone());
     }
 
-    /// Goes away and comes back from the copy, with the faults that it had; returns once it is
-    /// back. Without a copy it comes back as it was.
+    /// Takes the store down and restores it from the backup, keeping its injected faults; returns
+    /// once the store is up. Without a backup the data stays as it was.
     pub async fn drill(self: &Arc<Self>, drill: Drill) {
         let was_down = self.set_down(true);
-        tokio::time::sleep(drill.away_for).await;
-        let lost = self.come_back();
+        tokio::time::sleep(drill.downtime).await;
+        let lost = self.swap_in_backup();
         self.set_down(was_down);
         let store = Arc::clone(self);
         tokio::spawn(async move {
@@ -56,7 +56,7 @@
         });
     }
 
-    /// Returns whether it was down before.
+    /// Sets whether the store is down, and returns whether it was down before.
     fn set_down(&self, down: bool) -> bool {
         let faults = self.inner.lock().faults.clone();
         let was_down = faults.down;
@@ -64,27 +64,27 @@
         was_down
     }
 
-    /// Puts the copy in place, and returns what operators wrote since.
-    fn come_back(&self) -> Vec<wire::Put> {
+    /// Replaces the data with the backup, and returns the writes of operators that this loses.
+    fn swap_in_backup(&self) -> Vec<wire::Put> {
         let mut inner = self.inner.lock();
         inner.epoch += 1;
-        let Some(copy) = inner.copy.clone() else {
+        let Some(backup) = inner.backup.clone() else {
             return Vec::new();
         };
-        let before = std::mem::replace(&mut inner.data, copy);
-        written_by_operators(&before, &inner.data)
+        let before = std::mem::replace(&mut inner.data, backup);
+        lost_operator_writes(&before, &inner.data)
     }
 }
 
-fn written_by_operators(before: &Data, copy: &Data) -> Vec<wire::Put> {
-    let is_operators = |key: &[u8]| {
+fn lost_operator_writes(before: &Data, backup: &Data) -> Vec<wire::Put> {
+    let is_operator_key = |key: &[u8]| {
         key == keys::IN_FORCE.as_bytes()
             || key.starts_with(keys::PRESETS.as_bytes())
-            || key.starts_with(OPERATORS.as_bytes())
+            || key.starts_with(OPERATOR_KEY_PREFIX.as_bytes())
     };
     let is_lost = |kv: &&wire::KeyValue| {
-        let kept = copy.keys.get(&kv.key);
-        is_operators(&kv.key) && kept.is_none_or(|kept| kept.value != kv.value)
+        let restored = backup.keys.get(&kv.key);
+        is_operator_key(&kv.key) && restored.is_none_or(|restored| restored.value != kv.value)
     };
     let lost = before.keys.values().filter(is_lost);
     lost.map(|kv| wire::Put {
--- a/crates/standin/src/store/serving.rs
+++ b/crates/standin/src/store/serving.rs
@@ -1,4 +1,4 @@
-//! The store over HTTP, with the faults in force.
+//! HTTP interface of the store, with injected faults applied.
 
 use std::io;
 use std::sync::Arc;
@@ -17,28 +17,28 @@
 use tokio::sync::{broadcast, watch};
 
 use super::drill::EPOCH;
-use super::{BODY_MOST, CALLS, FAULTS, Faults, Store, covers, select};
+use super::{CALLS, FAULTS, Faults, MAX_BODY_BYTES, Store, is_watched, select};
 
-/// Serves until `phase` closes.
+/// Serves the store on `listener` until `phase` closes.
 pub async fn run(listener: TcpListener, store: Arc<Store>, phase: watch::Receiver<Phase>) {
     let limits = Limits {
         connections: 65_536,
         ..Limits::default()
     };
     let handler = Function::new(store, |store, request| -> Answer {
-        Box::pin(answer(store, request))
+        Box::pin(respond(store, request))
     });
     serve(listener, handler, Protocol::Http1, limits, phase).await;
 }
 
-async fn answer(store: Arc<Store>, request: Request<Body>) -> Response<Body> {
-    let mut response = answer_in_epoch(Arc::clone(&store), request).await;
+async fn respond(store: Arc<Store>, request: Request<Body>) -> Response<Body> {
+    let mut response = handle(Arc::clone(&store), request).await;
     let epoch = store.inner.lock().epoch;
     response.headers_mut().insert(EPOCH, epoch.into());
     response
 }
 
-async fn answer_in_epoch(store: Arc<Store>, request: Request<Body>) -> Response<Body> {
+async fn handle(store: Arc<Store>, request: Request<Body>) -> Response<Body> {
     let path = request.uri().path().to_owned();
     match path.as_str() {
         FAULTS => return set_faults(&store, request).await,
@@ -49,7 +49,7 @@
     if faults.slow_millis > 0 {
         tokio::time::sleep(Duration::from_millis(faults.slow_millis)).await;
     }
-    count(&store, &path);
+    count_call(&store, &path);
     if store.inner.lock().faults.down {
         return reply::text(StatusCode::SERVICE_UNAVAILABLE, "down\n");
     }
@@ -62,7 +62,7 @@
     }
 }
 
-fn count(store: &Store, path: &str) {
+fn count_call(store: &Store, path: &str) {
     let calls = &mut store.inner.lock().calls;
     match path {
         wire::RANGE => calls.reads += 1,
@@ -73,22 +73,22 @@
 }
 
 async fn set_faults(store: &Store, request: Request<Body>) -> Response<Body> {
-    match reply::read_json::<Faults, _>(request.into_body(), BODY_MOST).await {
+    match reply::read_json::<Faults, _>(request.into_body(), MAX_BODY_BYTES).await {
         Ok(faults) => {
             store.set_faults(faults);
             reply::text(StatusCode::OK, "set\n")
         }
-        Err(error) => bad(&error),
+        Err(error) => bad_request(&error),
     }
 }
 
 async fn range(store: &Store, request: Request<Body>) -> Response<Body> {
-    let range: wire::Range = match reply::read_json(request.into_body(), BODY_MOST).await {
+    let range: wire::Range = match reply::read_json(request.into_body(), MAX_BODY_BYTES).await {
         Ok(range) => range,
-        Err(error) => return bad(&error),
+        Err(error) => return bad_request(&error),
     };
     let mut inner = store.inner.lock();
-    inner.data.lapse(Instant::now());
+    inner.data.expire_leases(Instant::now());
     let keys = inner.snapshot.as_ref().unwrap_or(&inner.data.keys);
     let found = wire::RangeReply {
         header: inner.data.header(),
@@ -98,9 +98,9 @@
 }
 
 async fn txn(store: Arc<Store>, request: Request<Body>) -> Response<Body> {
-    let txn: wire::Txn = match reply::read_json(request.into_body(), BODY_MOST).await {
+    let txn: wire::Txn = match reply::read_json(request.into_body(), MAX_BODY_BYTES).await {
         Ok(txn) => txn,
-        Err(error) => return bad(&error),
+        Err(error) => return bad_request(&error),
     };
     let largest = [txn.compare.len(), txn.success.len(), txn.failure.len()];
     if largest
@@ -112,7 +112,7 @@
             "too many operations in txn request\n",
         );
     }
-    if take_one(&store, |faults| &mut faults.late_writes) {
+    if try_consume(&store, |faults| &mut faults.late_writes) {
         let late = Duration::from_millis(store.inner.lock().faults.late_millis);
         tokio::spawn(async move {
             tokio::time::sleep(late).await;
@@ -121,78 +121,78 @@
         return std::future::pending().await;
     }
     let reply = store.write(txn);
-    if take_one(&store, |faults| &mut faults.deny_writes) {
+    if try_consume(&store, |faults| &mut faults.deny_writes) {
         return reply::text(StatusCode::SERVICE_UNAVAILABLE, "request timed out\n");
     }
-    if take_one(&store, |faults| &mut faults.lose_replies) {
+    if try_consume(&store, |faults| &mut faults.lose_replies) {
         return std::future::pending().await;
     }
     reply::json(StatusCode::OK, &reply)
 }
 
-fn take_one(store: &Store, field: impl Fn(&mut Faults) -> &mut u32) -> bool {
+fn try_consume(store: &Store, field: impl Fn(&mut Faults) -> &mut u32) -> bool {
     let mut inner = store.inner.lock();
-    let left = field(&mut inner.faults);
-    let taken = *left > 0;
-    *left = left.saturating_sub(1);
-    taken
+    let remaining = field(&mut inner.faults);
+    let is_consumed = *remaining > 0;
+    *remaining = remaining.saturating_sub(1);
+    is_consumed
 }
 
 async fn lease(store: &Store, path: &str, request: Request<Body>) -> Response<Body> {
-    let asked: wire::Lease = match reply::read_json(request.into_body(), BODY_MOST).await {
-        Ok(asked) => asked,
-        Err(error) => return bad(&error),
+    let lease: wire::Lease = match reply::read_json(request.into_body(), MAX_BODY_BYTES).await {
+        Ok(lease) => lease,
+        Err(error) => return bad_request(&error),
     };
     let data = &mut store.inner.lock().data;
     match path {
-        wire::GRANT => reply::json(StatusCode::OK, &data.grant(asked.ttl)),
+        wire::GRANT => reply::json(StatusCode::OK, &data.grant(lease.ttl)),
         wire::KEEP_ALIVE => {
-            let result = data.renew(asked.id);
+            let result = data.renew(lease.id);
             reply::json(StatusCode::OK, &wire::Streamed { result })
         }
         _ => {
-            data.revoke(asked.id);
+            data.revoke(lease.id);
             reply::json(StatusCode::OK, &wire::RangeReply::default())
         }
     }
 }
 
 async fn watch(store: &Store, request: Request<Body>) -> Response<Body> {
-    let asked: wire::Watch = match reply::read_json(request.into_body(), BODY_MOST).await {
-        Ok(asked) => asked,
-        Err(error) => return bad(&error),
+    let body: wire::Watch = match reply::read_json(request.into_body(), MAX_BODY_BYTES).await {
+        Ok(body) => body,
+        Err(error) => return bad_request(&error),
     };
-    let asked = asked.create_request;
-    if asked.start_revision > store.inner.lock().data.revision + 1 {
+    let request = body.create_request;
+    if request.start_revision > store.inner.lock().data.revision + 1 {
         return reply::text(StatusCode::GONE, "no such revision\n");
     }
-    let watching = Watching {
+    let subscription = Subscription {
         events: store.events.subscribe(),
-        cut: store.cut.subscribe(),
-        missed: store.missed(&asked),
-        asked,
+        watch_cuts: store.watch_cuts.subscribe(),
+        missed_changes: store.missed_changes(&request),
+        request,
         created: false,
     };
-    let items = stream::unfold(watching, |mut watching| async move {
-        let item = watching.next().await?;
-        let mut written = serde_json::to_vec(&wire::Streamed { result: item }).ok()?;
-        written.push(b'\n');
-        let frame = Frame::data(Bytes::from(written));
-        Some((Ok::<_, io::Error>(frame), watching))
+    let items = stream::unfold(subscription, |mut subscription| async move {
+        let item = subscription.next().await?;
+        let mut line = serde_json::to_vec(&wire::Streamed { result: item }).ok()?;
+        line.push(b'\n');
+        let frame = Frame::data(Bytes::from(line));
+        Some((Ok::<_, io::Error>(frame), subscription))
     });
     Response::new(Body::new(StreamBody::new(items)))
 }
 
-struct Watching {
-    asked: wire::WatchCreate,
-    /// Changes made before the watch was opened that it asks for.
-    missed: Vec<wire::KeyValue>,
+struct Subscription {
+    request: wire::WatchCreate,
+    /// Changes between the start revision of the watch and its opening.
+    missed_changes: Vec<wire::KeyValue>,
     events: broadcast::Receiver<wire::KeyValue>,
-    cut: watch::Receiver<u64>,
+    watch_cuts: watch::Receiver<u64>,
     created: bool,
 }
 
-impl Watching {
+impl Subscription {
     async fn next(&mut self) -> Option<wire::WatchReply> {
         if !self.created {
             self.created = true;
@@ -201,35 +201,35 @@
                 events: vec![],
             });
         }
-        if !self.missed.is_empty() {
-            let missed = std::mem::take(&mut self.missed);
+        if !self.missed_changes.is_empty() {
+            let missed_changes = std::mem::take(&mut self.missed_changes);
             return Some(wire::WatchReply {
                 created: false,
-                events: missed.into_iter().map(written).collect(),
+                events: missed_changes.into_iter().map(put_event).collect(),
             });
         }
         loop {
             let kv = tokio::select! {
                 event = self.events.recv() => event.ok()?,
-                _ = self.cut.changed() => return None,
+                _ = self.watch_cuts.changed() => return None,
             };
-            if covers(&self.asked, &kv.key) {
+            if is_watched(&self.request, &kv.key) {
                 return Some(wire::WatchReply {
                     created: false,
-                    events: vec![written(kv)],
+                    events: vec![put_event(kv)],
                 });
             }
         }
     }
 }
 
-fn written(kv: wire::KeyValue) -> wire::Event {
+fn put_event(kv: wire::KeyValue) -> wire::Event {
     wire::Event {
         kind: wire::EventKind::Put,
         kv,
     }
 }
 
-fn bad(error: &reply::BadBody) -> Response<Body> {
+fn bad_request(error: &reply::BadBody) -> Response<Body> {
     reply::text(StatusCode::BAD_REQUEST, format!("{error}\n"))
 }
--- a/crates/standin/src/supervisor.rs
+++ b/crates/standin/src/supervisor.rs
@@ -1,5 +1,5 @@
-//! An upstream as a process of its own would be: when it crashes, all that it had in progress is
-//! gone at once, nothing listens at its address for a while, and then it starts again there.
+//! Emulates an upstream in its own process: a crash drops all requests in progress at once, nothing
+//! listens at its address for a while, and then it starts again at the same address.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 
 use crate::upstream::{self, Upstream};
 
-/// Serves on a thread of its own until `phase` closes, and again after each crash.
+/// Serves the upstream on a separate thread until `phase` closes, and restarts it after each crash.
 pub fn start(
     listener: std::net::TcpListener,
     upstream: Arc<Upstream>,
@@ -25,7 +25,7 @@
             return;
         };
         let mut listener = Some(listener);
-        while serve(address, listener.take(), &upstream, &phase) == Ended::Crashed {
+        while run_once(address, listener.take(), &upstream, &phase) == Exit::Crashed {
             let behaviour = upstream.behaviour();
             std::thread::sleep(Duration::from_millis(behaviour.down_millis));
             let announcement = announcement.clone();
@@ -37,7 +37,7 @@
     });
 }
 
-/// Announces that the upstream has started again, under the id that it had.
+/// Announces that the upstream has restarted under the same id.
 pub fn announce_start(announcement: &watch::Sender<Arc<Announcement>>) {
     announcement.send_modify(|current| {
         let starts = current.born.unwrap_or_default();
@@ -46,20 +46,20 @@
 }
 
 #[derive(PartialEq, Eq)]
-enum Ended {
+enum Exit {
     Crashed,
     Closed,
 }
 
-/// One life of the process; its end takes the runtime along, and with it every connection.
-fn serve(
+/// Runs the upstream until it crashes or closes; dropping its runtime closes every connection.
+fn run_once(
     address: SocketAddr,
     listener: Option<std::net::TcpListener>,
     upstream: &Arc<Upstream>,
     phase: &watch::Receiver<Phase>,
-) -> Ended {
+) -> Exit {
     let Ok(runtime) = Builder::new_current_thread().enable_all().build() else {
-        return Ended::Closed;
+        return Exit::Closed;
     };
     runtime.block_on(async {
         let bound = match listener {
@@ -67,11 +67,11 @@
             None => TcpListener::bind(address).await,
         };
         let Ok(bound) = bound else {
-            return Ended::Closed;
+            return Exit::Closed;
         };
         tokio::select! {
-            _ = upstream::run(bound, Arc::clone(upstream), phase.clone()) => Ended::Closed,
-            () = upstream.crashed() => Ended::Crashed,
+            _ = upstream::run(bound, Arc::clone(upstream), phase.clone()) => Exit::Closed,
+            () = upstream.crashed() => Exit::Crashed,
         }
     })
 }
