--- a/crates/bench/tests/policy.rs
+++ b/crates/bench/tests/policy.rs
@@ -27,7 +27,7 @@
 #[case::wisla_straggler(WISLA, Condition::Straggler, 0.5)]
 #[case::wisla_burst(WISLA, Condition::Burst, 0.9)]
 #[case::wisla_auction(WISLA, Condition::Auction, 0.75)]
-fn p99_stays_near_the_best(
+fn run_keeps_p99_near_the_best(
     #[case] deployment: Deployment,
     #[case] condition: Condition,
     #[case] share: f64,
@@ -59,7 +59,7 @@
 #[case::round_robin("round robin")]
 #[case::two_choices("two choices, own")]
 #[case::random("random")]
-fn p99_with_a_straggler_beats(#[case] baseline: &str) {
+fn run_p99_with_a_straggler_beats(#[case] baseline: &str) {
     let chosen = run(
         PRESSE,
         Condition::Straggler,
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn runs_are_deterministic() {
+fn run_is_deterministic() {
     let figures = || {
         let results = run(WISLA, Condition::Noisy, 0.9, policy("mintridge"), 1.0);
         (
--- a/crates/core/tests/bootstrap.rs
+++ b/crates/core/tests/bootstrap.rs
@@ -70,7 +70,7 @@
 #[case::small(12, 2.0)]
 #[case::large(300, 0.5)]
 #[case::target(510, 0.5)]
-fn discovery_is_spread_over_a_first_start(#[case] nodes: u64, #[case] max_calls: f64) {
+fn is_discovery_due_spread_over_a_first_start(#[case] nodes: u64, #[case] max_calls: f64) {
     let (calls, duration) = simulate_start(nodes);
     assert!(calls < max_calls, "{calls} calls for each of {nodes}");
     assert!(duration <= settings().start_spread + TICK, "{duration:?}");
@@ -81,7 +81,7 @@
 /// peers and routes nor as a designated reader, although it does not know yet which nodes come
 /// before it.
 #[test]
-fn store_is_not_used_by_a_node_that_joins_through_peers() {
+fn is_discovery_due_never_on_a_node_that_joins_through_peers() {
     let start = Instant::now();
     let node = Bootstrap::new(settings(), ISOLATED_AFTER, start, Contacts::Others, 7);
     for millis in 0..2_000 {
@@ -104,7 +104,7 @@
 /// its callers are rejected until then. With 250 to 500 ms for both, 32 requests of 28 nodes were
 /// rejected as unconfigured, compared with one.
 #[test]
-fn store_is_read_in_time_without_named_hosts() {
+fn is_routes_read_due_in_time_without_named_hosts() {
     let start = Instant::now();
     for seed in 0..300 {
         let node = Bootstrap::new(settings(), ISOLATED_AFTER, start, Contacts::Others, seed);
@@ -126,7 +126,7 @@
 /// A node is cut off from its peers but not from the store for half a minute. Its discovery
 /// attempts must back off: without backoff a hundred such nodes made two hundred calls a second.
 #[test]
-fn discovery_backs_off_while_cut_off() {
+fn schedule_discovery_retry_backs_off_while_cut_off() {
     let start = Instant::now();
     let mut node = Bootstrap::new(settings(), ISOLATED_AFTER, start, Contacts::Others, 1);
     let mut attempts = 0;
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -68,7 +68,7 @@
 /// that observed none. Two crashes do not suffice: an innocent request that is retried may have as
 /// many by chance.
 #[test]
-fn crashes_on_three_nodes_lead_to_quarantine_everywhere() {
+fn record_quarantines_everywhere_after_crashes_on_three_nodes() {
     let now = Instant::now();
     let mut nodes: Vec<Quarantine> = (0..4).map(node).collect();
     for (index, quarantined) in [(0, false), (1, false), (2, true)] {
@@ -88,7 +88,7 @@
 /// Guards against counting crashed upstreams instead of crashes: one upstream restarts and crashes
 /// three times under the same request.
 #[test]
-fn three_crashes_on_one_node_lead_to_quarantine() {
+fn record_quarantines_after_three_crashes_on_one_node() {
     let now = Instant::now();
     let mut node = node(0);
     for _ in 0..3 {
@@ -101,7 +101,7 @@
 /// Six requests are in progress at each crash, and the common one at three of four; the culprit is
 /// in progress at all four and explains them.
 #[test]
-fn crash_blames_the_request_that_explains_most() {
+fn record_blames_the_request_that_explains_most() {
     let now = Instant::now();
     let mut node = node(0);
     let (culprit, common) = (request(1), request(2));
@@ -120,7 +120,7 @@
 /// Guards against a common request that is quarantined because it was in progress at several
 /// crashes at once.
 #[test]
-fn crash_does_not_blame_a_request_answered_until_then() {
+fn record_does_not_blame_a_request_answered_until_then() {
     let now = Instant::now();
     let mut node = node(0);
     let (culprit, common) = (request(1), request(2));
@@ -137,7 +137,7 @@
 /// Guards against a culprit that is never quarantined because it was answered before it started to
 /// crash upstreams.
 #[test]
-fn crash_blames_a_culprit_that_was_answered_before() {
+fn record_blames_a_culprit_that_was_answered_before() {
     let now = Instant::now();
     let mut node = node(0);
     let culprit = request(1);
@@ -153,7 +153,7 @@
 /// Guards against an innocent request that stays quarantined instead of a culprit that was answered
 /// before: the next crash without the innocent request corrects the blame.
 #[test]
-fn next_crash_corrects_the_blame() {
+fn record_corrects_the_blame_at_the_next_crash() {
     let now = Instant::now();
     let mut node = node(0);
     let (culprit, slow) = (request(1), request(2));
@@ -169,7 +169,7 @@
 /// Guards against a common request that is quarantined on nodes whose own upstream never answered
 /// it.
 #[test]
-fn crash_reports_earlier_answers_to_other_nodes() {
+fn record_reports_earlier_answers_to_other_nodes() {
     let now = Instant::now();
     let mut nodes: Vec<Quarantine> = (0..4).map(node).collect();
     let (culprit, common) = (request(1), request(2));
@@ -187,7 +187,7 @@
 /// Two requests crash different upstreams at the same time. Both are quarantined, since neither
 /// explains the crashes of the other.
 #[test]
-fn crash_blames_two_requests_that_explain_different_crashes() {
+fn record_blames_two_requests_that_explain_different_crashes() {
     let now = Instant::now();
     let mut node = node(0);
     for n in 0..3 {
@@ -203,7 +203,7 @@
 #[rstest]
 #[case::before_third_crash(2)]
 #[case::after_third_crash(3)]
-fn answer_clears_a_common_request(#[case] crashes: u64) {
+fn record_clears_a_common_request_that_is_answered(#[case] crashes: u64) {
     let now = Instant::now();
     let mut nodes: Vec<Quarantine> = (0..5).map(node).collect();
     for index in 0..crashes {
@@ -223,7 +223,7 @@
 /// Guards against a culprit that is cleared by answers of another service, which gets a share of
 /// the request's traffic and can run it.
 #[test]
-fn answer_of_another_service_clears_nothing() {
+fn record_clears_nothing_after_an_answer_of_another_service() {
     let now = Instant::now();
     let mut node = node(0);
     for _ in 0..3 {
@@ -376,7 +376,7 @@
 /// retrying. The first trial is due after ten seconds, the second a minute later, then the delay
 /// doubles; trials by other nodes count too.
 #[test]
-fn trial_delay_doubles() {
+fn record_doubles_the_trial_delay() {
     let began_at = Instant::now();
     let mut nodes: Vec<Quarantine> = (0..3).map(node).collect();
     for _ in 0..3 {
@@ -402,7 +402,7 @@
 /// Guards against a request that stays quarantined after its upstreams have been fixed: an answered
 /// trial ends the quarantine.
 #[test]
-fn answered_trial_ends_the_quarantine() {
+fn record_ends_the_quarantine_after_an_answered_trial() {
     let began_at = Instant::now();
     let mut node = node(0);
     for _ in 0..3 {
@@ -434,7 +434,7 @@
 /// an availability zone is lost with a thousand in progress. A request with three crashes is not
 /// evicted.
 #[test]
-fn a_thousand_crashes_keep_the_worst_suspect() {
+fn record_keeps_the_worst_suspect_after_a_thousand_crashes() {
     let now = Instant::now();
     let mut node = node(0);
     for _ in 0..3 {
@@ -485,7 +485,7 @@
 #[rstest]
 #[case::without_quarantine(usize::MAX, 40, u32::MAX)]
 #[case::with_quarantine(3, 3, 8)]
-fn simulation_of_a_request_that_crashes_upstreams(
+fn record_in_a_simulation_of_a_request_that_crashes_upstreams(
     #[case] ends_least: usize,
     #[case] min_crashes: u32,
     #[case] max_crashes: u32,
