--- a/crates/standin/src/scene.rs
+++ b/crates/standin/src/scene.rs
@@ -1,6 +1,6 @@
-//! A whole deployment on loopback, over real HTTP: the store's stand-in, upstreams'
-//! stand-ins, and real nodes, as threads of this process or as processes of their own.
-//! For tests and trials.
+//! A complete deployment on the loopback interface for tests and trials: a stand-in for the store,
+//! stand-ins for upstreams, and real nodes that run as threads of this process or as separate
+//! processes. All of them communicate over real HTTP.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -34,22 +34,22 @@
 use crate::upstream::{Behaviour, Upstream};
 use crate::{announcer, store, supervisor, upstream};
 
-/// Generous limit on any wait for a condition.
-const WAIT_MOST: Duration = Duration::from_mins(1);
-const LOOK_EVERY: Duration = Duration::from_millis(10);
-const ASK_WITHIN: Duration = Duration::from_secs(2);
+/// Limit on any wait for a condition, generous so that a slow machine doesn't fail a test.
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+const OPERATORS_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What to build.
+/// Description of the deployment to build.
 pub struct Plan {
-    /// Services with the number of their hosts.
+    /// Services and their number of hosts.
     pub services: Vec<(&'static str, usize)>,
-    /// Availability zones, given to the hosts in turn.
+    /// Availability zones, assigned to the hosts of each service in turn.
     pub zones: Vec<&'static str>,
-    /// Behaviour of every upstream at first.
+    /// Initial behaviour of every upstream.
     pub behaviour: Behaviour,
-    /// Changes to every node's settings.
+    /// Adjusts the settings of every node.
     pub adjust: fn(&mut Settings),
-    /// The node's binary, to run each node as a process of its own.
+    /// Path of the node's binary; if set, each node runs as a separate process.
     pub binary: Option<PathBuf>,
 }
 
@@ -68,13 +68,13 @@
     }
 }
 
-/// Why a scene was not built.
+/// Error that prevents the start of a scene or of one of its nodes.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A socket could not be opened or a process not started.
+    /// A socket could not be opened, or a process could not be started.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A node did not start.
+    /// A node that runs as threads could not be started.
     #[error("{0:?}")]
     Node(Report<node::Error>),
 }
@@ -82,9 +82,9 @@
 /// A running node.
 #[derive(Debug)]
 pub enum Running {
-    /// As threads of this process.
+    /// The node runs as threads of this process.
     Threads(Node),
-    /// As a process of its own.
+    /// The node runs as a separate process.
     Process(Process),
 }
 
@@ -99,31 +99,31 @@
 
 /// One host: an upstream and the node beside it.
 pub struct Host {
-    /// Its name.
+    /// Name of the host.
     pub name: Arc<str>,
-    /// Its service.
+    /// Service of the upstream.
     pub service: Arc<str>,
-    /// The upstream.
+    /// Stand-in for the upstream.
     pub upstream: Arc<Upstream>,
-    /// Where the upstream listens.
+    /// Address on which the upstream listens.
     pub upstream_address: SocketAddr,
-    /// The node, until it is stopped.
+    /// The node beside the upstream; `None` while it is stopped.
     pub node: Option<Running>,
-    /// What the upstream announces.
+    /// Current announcement of the upstream to its node.
     pub announcement: watch::Sender<Arc<Announcement>>,
     zone: String,
     phase: watch::Sender<Phase>,
 }
 
-/// A deployment.
+/// A running deployment.
 pub struct Scene {
-    /// The store.
+    /// Stand-in for the store.
     pub store: Arc<Store>,
-    /// Where the store listens.
+    /// Address on which the store listens.
     pub store_address: SocketAddr,
-    /// The hosts.
+    /// The hosts, in the order in which they were added.
     pub hosts: Vec<Host>,
-    /// A caller.
+    /// Client that sends requests to the nodes.
     pub caller: Caller,
     http: HttpClient<HttpConnector, Empty<Bytes>>,
     adjust: fn(&mut Settings),
@@ -131,10 +131,10 @@
     _store_phase: watch::Sender<Phase>,
 }
 
-/// A listener on any free port of loopback.
+/// Opens a listener on a free loopback port and returns it with its address.
 ///
 /// # Errors
-/// If there is none.
+/// If the listener can't be bound.
 pub async fn loopback() -> io::Result<(TcpListener, SocketAddr)> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address = listener.local_addr()?;
@@ -142,7 +142,7 @@
 }
 
 impl Scene {
-    /// Builds a scene and waits until every node knows every host.
+    /// Starts a deployment and waits until every node knows every host.
     ///
     /// # Errors
     /// If a socket or node cannot be started.
@@ -175,7 +175,7 @@
         Ok(scene)
     }
 
-    /// Adds a host.
+    /// Adds a host and starts its upstream and its node.
     ///
     /// # Errors
     /// If a socket or node cannot be started.
@@ -189,7 +189,7 @@
         self.add_with(name, service, zone, behaviour, |_| {}).await
     }
 
-    /// The same, with further changes to its node's settings.
+    /// Adds a host as [`Self::add`] does, with further changes to its node's settings.
     ///
     /// # Errors
     /// If a socket or node cannot be started.
@@ -234,18 +234,18 @@
         self.start_node_with(self.hosts.len() - 1, adjust)
     }
 
-    /// Starts a node with an empty memory beside the upstream of this host.
+    /// Starts a new node beside the upstream of a host; the node has no state of an earlier one.
     ///
     /// # Errors
-    /// If it does not start.
+    /// If the node can't be started.
     pub fn start_node(&mut self, index: usize) -> Result<(), Error> {
         self.start_node_with(index, |_| {})
     }
 
-    /// The same, with further changes to its settings.
+    /// Starts a node as [`Self::start_node`] does, with further changes to its settings.
     ///
     /// # Errors
-    /// If it does not start.
+    /// If the node can't be started.
     pub fn start_node_with(
         &mut self,
         index: usize,
@@ -267,16 +267,17 @@
             let started = node::start(settings, Adapter::default());
             Running::Threads(started.map_err(Error::Node)?)
         };
-        let to = running.addresses().announcements;
-        tokio::spawn(announcer::run(to, host.announcement.subscribe()));
+        let announcements = running.addresses().announcements;
+        tokio::spawn(announcer::run(announcements, host.announcement.subscribe()));
         host.node = Some(running);
         Ok(())
     }
 
-    /// Waits until every node knows every host, and its entry every upstream.
+    /// Waits until every node's membership table has every host with its upstream, and the node's
+    /// entry knows every upstream.
     ///
     /// # Panics
-    /// If that does not come true for very long.
+    /// If the condition isn't met within a minute.
     pub async fn until_joined(&self) {
         let count = self.hosts.len();
         self.until("every node knows every host", |status| {
@@ -290,43 +291,51 @@
     /// Waits until the state of every running node meets a condition.
     ///
     /// # Panics
-    /// If that does not come true for very long.
-    pub async fn until(&self, what: &str, holds: impl Fn(&Status) -> bool) {
+    /// If the condition isn't met within a minute.
+    pub async fn until(&self, description: &str, condition: impl Fn(&Status) -> bool) {
         let running: Vec<usize> = (0..self.hosts.len())
             .filter(|index| self.hosts[*index].node.is_some())
             .collect();
-        self.until_of(&running, what, holds).await;
+        self.until_of(&running, description, condition).await;
     }
 
-    /// Waits until the state of these nodes meets a condition.
+    /// Waits until the state of each node in `indices` meets a condition.
     ///
     /// # Panics
-    /// If that does not come true for very long.
-    pub async fn until_of(&self, of: &[usize], what: &str, holds: impl Fn(&Status) -> bool) {
-        let give_up_at = Instant::now() + WAIT_MOST;
+    /// If the condition isn't met within a minute.
+    pub async fn until_of(
+        &self,
+        indices: &[usize],
+        description: &str,
+        condition: impl Fn(&Status) -> bool,
+    ) {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             let mut met = true;
-            for index in of {
+            for index in indices {
                 let status = self.status(*index).await;
-                met &= status.is_some_and(|status| holds(&status));
+                met &= status.is_some_and(|status| condition(&status));
             }
             if met {
                 return;
             }
-            assert!(Instant::now() < give_up_at, "never came true: {what}");
-            tokio::time::sleep(LOOK_EVERY).await;
+            assert!(
+                Instant::now() < deadline,
+                "condition not met in time: {description}"
+            );
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// What a node says of itself.
+    /// Returns the state that a node reports to operators, or `None` if it can't be read.
     pub async fn status(&self, index: usize) -> Option<Status> {
-        let body = self.ask(index, STATE).await?;
+        let body = self.get(index, STATE).await?;
         serde_json::from_slice(&body).ok()
     }
 
-    /// A counter of a node; 0 if it does not show it.
+    /// Returns the value of a node's counter, or 0 if the node doesn't export it.
     pub async fn counter(&self, index: usize, name: &str) -> f64 {
-        let body = self.ask(index, METRICS).await.unwrap_or_default();
+        let body = self.get(index, METRICS).await.unwrap_or_default();
         let text = String::from_utf8_lossy(&body);
         let lines = text.lines().filter_map(|line| line.strip_prefix(name));
         lines
@@ -334,34 +343,36 @@
             .sum()
     }
 
-    async fn ask(&self, index: usize, path: &str) -> Option<Bytes> {
+    async fn get(&self, index: usize, path: &str) -> Option<Bytes> {
         let address = self.hosts[index].node.as_ref()?.addresses().operators;
         let uri = format!("http://{address}{path}").parse().ok()?;
-        let asked = async {
+        let body = async {
             let response = self.http.get(uri).await.ok()?;
             Some(response.into_body().collect().await.ok()?.to_bytes())
         };
-        tokio::time::timeout(ASK_WITHIN, asked).await.ok()?
+        tokio::time::timeout(OPERATORS_REQUEST_TIMEOUT, body)
+            .await
+            .ok()?
     }
 
-    /// Where the node of this host listens.
+    /// Returns the addresses on which the node of a host listens.
     ///
     /// # Panics
-    /// If the node was stopped.
+    /// If the node is stopped.
     #[must_use]
     pub fn addresses(&self, index: usize) -> Addresses {
         let node = self.hosts[index].node.as_ref();
         node.expect("the node runs").addresses()
     }
 
-    /// Where all running nodes take callers' requests.
+    /// Returns the addresses at which the running nodes accept callers' requests.
     #[must_use]
     pub fn entries(&self) -> Vec<SocketAddr> {
         let running = self.hosts.iter().filter_map(|host| host.node.as_ref());
         running.map(|node| node.addresses().callers).collect()
     }
 
-    /// Calls through the node of this host.
+    /// Sends a request to the node of a host and returns the reply.
     pub async fn call(&self, index: usize, call: &Call) -> Told {
         self.caller
             .call(self.addresses(index).callers, call)
@@ -369,10 +380,10 @@
             .told
     }
 
-    /// The process of this host's node.
+    /// Returns the process of a host's node.
     ///
     /// # Panics
-    /// If the node is not a process.
+    /// If the node is stopped or runs as threads.
     #[must_use]
     pub fn process(&self, index: usize) -> &Process {
         match &self.hosts[index].node {
@@ -381,7 +392,7 @@
         }
     }
 
-    /// Stops a node as planned; returns when it has ended.
+    /// Stops a node gracefully and waits until it has ended.
     pub async fn stop(&mut self, index: usize) {
         match self.hosts[index].node.take() {
             Some(Running::Threads(node)) => {
@@ -395,7 +406,7 @@
         }
     }
 
-    /// Ends a node at once: a process by SIGKILL, threads without finishing requests.
+    /// Ends a node immediately: a process with SIGKILL, threads without finishing their requests.
     pub async fn kill(&mut self, index: usize) {
         match self.hosts[index].node.take() {
             Some(Running::Threads(node)) => {
@@ -406,19 +417,19 @@
         }
     }
 
-    /// Ends an upstream at once.
+    /// Ends an upstream immediately and aborts its requests in progress.
     pub fn end_upstream(&self, index: usize) {
         self.hosts[index].phase.send_replace(Phase::Closing {
             give_up_at: Instant::now(),
         });
     }
 
-    /// Lets an upstream announce that it has started again, under the id that it had.
+    /// Makes an upstream announce that it has restarted with an unchanged instance id.
     pub fn announce_start(&self, index: usize) {
         supervisor::announce_start(&self.hosts[index].announcement);
     }
 
-    /// Lets an upstream announce that it drains, or that it is ready again.
+    /// Makes an upstream announce a state, such as draining or ready.
     pub fn announce(&self, index: usize, state: State) {
         self.hosts[index].announcement.send_modify(|current| {
             *current = Arc::new(Announcement {
@@ -436,28 +447,28 @@
         upstream.set_behaviour(behaviour);
     }
 
-    /// A client of the store as operators have it.
+    /// Creates a client of the store like the one that operators use.
     #[must_use]
     pub fn operator(&self) -> Client {
         Client::new(self.store_address, Duration::from_millis(500))
     }
 
-    /// Writes a preset under the name `preset` and puts it in force.
+    /// Writes a preset under the name `preset` and activates it.
     ///
     /// # Errors
-    /// If the store refuses.
+    /// If the store rejects the preset or its activation.
     pub async fn put_in_force(
         &self,
         preset: Preset,
-        mark: &str,
+        change_id: &str,
     ) -> Result<InForce, presets::Refused> {
         let store = self.operator();
-        let author = author(mark);
+        let author = author(change_id);
         presets::put(&store, "preset", preset, None, &author).await?;
         presets::activate(&store, "preset", &author).await
     }
 
-    /// Lets every upstream crash on a request for this path, or on none.
+    /// Makes every upstream crash on a request for `path`, or on no request if it is `None`.
     pub fn crash_on(&self, path: Option<&str>) {
         for index in 0..self.hosts.len() {
             self.behave(index, |behaviour| {
@@ -466,14 +477,14 @@
         }
     }
 
-    /// Times that upstreams crashed.
+    /// Returns the number of crashes of all upstreams.
     #[must_use]
     pub fn crashes(&self) -> u64 {
         let accounts = self.hosts.iter().map(|host| host.upstream.account());
         accounts.map(|account| account.crashes).sum()
     }
 
-    /// Times a request ran, over all upstreams.
+    /// Returns how often a request ran, summed over all upstreams.
     #[must_use]
     pub fn runs(&self, id: &str) -> u32 {
         let accounts = self.hosts.iter().map(|host| host.upstream.account());
@@ -483,24 +494,27 @@
     }
 }
 
-/// An author of changes with this name and mark.
+/// Creates an author whose name and change id are both `change_id`.
 #[must_use]
-pub fn author(mark: &str) -> Author {
+pub fn author(change_id: &str) -> Author {
     Author {
-        name: Arc::from(mark),
+        name: Arc::from(change_id),
         at: 0,
-        mark: Arc::from(mark),
+        mark: Arc::from(change_id),
     }
 }
 
-/// Waits for a condition.
+/// Waits until a condition is met.
 ///
 /// # Panics
-/// If it does not come true for very long.
-pub async fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let give_up_at = Instant::now() + WAIT_MOST;
-    while !holds() {
-        assert!(Instant::now() < give_up_at, "never came true: {what}");
-        tokio::time::sleep(LOOK_EVERY).await;
+/// If the condition isn't met within a minute.
+pub async fn wait_for(description: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(
+            Instant::now() < deadline,
+            "condition not met in time: {description}"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
