--- a/crates/standin/src/bin/upstream.rs
+++ b/crates/standin/src/bin/upstream.rs
@@ -1,5 +1,5 @@
-//! `standin-upstream`: an upstream as a process that announces itself and drains on
-//! SIGTERM.
+//! `standin-upstream`: a stand-in for an upstream as a separate process. It announces itself to the
+//! node beside it and drains on SIGTERM.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -20,25 +20,26 @@
     xflags::xflags! {
         /// Stand-in for an upstream.
         cmd standin-upstream {
-            /// Its name.
+            /// Name of the upstream.
             required name: String
-            /// Service it offers.
+            /// Service that it provides.
             required service: String
             /// Address to listen on.
             required listen: SocketAddr
-            /// Where the node beside it takes announcements.
+            /// Address at which the node beside it accepts announcements.
             required announce: SocketAddr
-            /// Requests served at once, 12 by default.
+            /// Number of requests served concurrently, 12 by default.
             optional --slots slots: usize
-            /// Microseconds one request takes, 20000 by default.
+            /// Service time of a request in microseconds, 20000 by default.
             optional --service-micros micros: u64
         }
     }
 }
 
-/// Time for late requests to be refused elsewhere before this process goes.
-const DRAIN_LEAST: Duration = Duration::from_secs(3);
-const DRAIN_MOST: Duration = Duration::from_mins(1);
+/// Delay between the announcement of the drain and the close of the listener, in which the node
+/// refuses late requests, so that none reaches a closed listener.
+const LISTENER_CLOSE_DELAY: Duration = Duration::from_secs(3);
+const DRAIN_TIMEOUT: Duration = Duration::from_mins(1);
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
@@ -57,26 +58,29 @@
         state: State::Ready,
         ..Announcement::default()
     };
-    let (Ok(listener), Ok(mut terminate)) = (
+    let (Ok(listener), Ok(mut terminate_signal)) = (
         TcpListener::bind(arguments.listen).await,
         signal(SignalKind::terminate()),
     ) else {
         eprintln!("{}: cannot listen", arguments.listen);
         return ExitCode::FAILURE;
     };
-    let announced = watch::Sender::new(Arc::new(announcement.clone()));
-    tokio::spawn(announcer::run(arguments.announce, announced.subscribe()));
+    let announcement_sender = watch::Sender::new(Arc::new(announcement.clone()));
+    tokio::spawn(announcer::run(
+        arguments.announce,
+        announcement_sender.subscribe(),
+    ));
     let phase = watch::Sender::new(Phase::Open);
     let upstream = Arc::new(Upstream::new(&arguments.name, behaviour));
     let serving = tokio::spawn(upstream::run(listener, upstream, phase.subscribe()));
-    terminate.recv().await;
-    announced.send_replace(Arc::new(Announcement {
+    terminate_signal.recv().await;
+    announcement_sender.send_replace(Arc::new(Announcement {
         state: State::Draining,
         ..announcement
     }));
-    tokio::time::sleep(DRAIN_LEAST).await;
+    tokio::time::sleep(LISTENER_CLOSE_DELAY).await;
     phase.send_replace(Phase::Closing {
-        give_up_at: Instant::now() + DRAIN_MOST,
+        give_up_at: Instant::now() + DRAIN_TIMEOUT,
     });
     let _ = serving.await;
     ExitCode::SUCCESS
--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -1,5 +1,5 @@
-//! An upstream: slots, a service time, and misbehaviour on command. It counts what ran
-//! by request id, which is the account that proofs are checked against.
+//! A stand-in for an upstream, with configurable slots, service time and faults. It counts the runs
+//! of each request id, and tests check their results against these counts.
 
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -21,75 +21,75 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, Semaphore, watch};
 
-/// Header by which a caller numbers its request for the account.
+/// Header with the caller's request id, by which runs are counted.
 pub const REQUEST_ID: &str = "x-request-id";
-/// Header that names the upstream that answered.
+/// Header with the name of the upstream that sent the response.
 pub const SERVER: &str = "x-server";
 const CLIENT_ACCOUNT: &str = "mintridge-client-account";
 const TIMEOUT: &str = "mintridge-timeout-ms";
-/// Trace context of a request.
+/// Header with the trace context of a request.
 pub const TRACEPARENT: &str = "traceparent";
-/// Header by which an answer tells the trace context that reached the upstream.
+/// Response header with the trace context that the upstream received.
 pub const SEEN_TRACEPARENT: &str = "x-seen-traceparent";
-/// Header by which an answer to a probe tells the load.
+/// Header of a probe response with the load of the upstream.
 pub const LOAD: &str = "x-load";
-/// Header by which an answer to a probe tells how much longer the upstream stays cold, in
+/// Header of a probe response with the remaining time for which the upstream is cold, in
 /// milliseconds.
 pub const COLD: &str = "x-cold";
-/// Path that reads and replaces the behaviour.
+/// Path at which a request replaces the behaviour.
 pub const BEHAVIOUR: &str = "/standin/behaviour";
-/// Path that reads the account of what ran.
+/// Path that returns the [`Account`].
 pub const ACCOUNT: &str = "/standin/account";
 /// Path of health probes.
 pub const HEALTH: &str = "/health";
-/// Prefix of paths that answer with that many bytes, as in `/bytes/1000`.
+/// Prefix of paths whose response body has the given number of bytes, as in `/bytes/1000`.
 pub const BYTES: &str = "/bytes/";
-/// Path of a request that ends upstreams, where they are told to crash on it.
+/// Path for tests of crashes; it has an effect only if [`Behaviour::crashes_on`] is set to it.
 pub const CRASHES: &str = "/crashes";
-/// Path that answers with the refusal of a deeper call.
-pub const DEEPER: &str = "/deeper";
-const BODY_MOST: usize = 64 * 1024;
-const CHUNK: usize = 64 * 1024;
-/// Requests to a cold upstream are counted over any such span.
+/// Path that returns the refusal of a nested call, as an upstream does that forwards it unchanged.
+pub const NESTED_REFUSAL: &str = "/deeper";
+const MAX_BEHAVIOUR_BYTES: usize = 64 * 1024;
+const CHUNK_BYTES: usize = 64 * 1024;
+/// Length of the sliding window in which requests to a cold upstream are counted.
 const COLD_WINDOW: Duration = Duration::from_secs(1);
 
-/// What an upstream does with requests.
+/// How an upstream handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Manner {
-    /// Serves them; those beyond the slots wait.
+    /// Serves requests; those without a free slot wait.
     #[default]
     Serve,
-    /// Serves them; those beyond the slots are refused with status 503.
+    /// Serves requests; those without a free slot are rejected with status 503.
     Shed,
-    /// Refuses every one at once with status 503.
+    /// Rejects every request immediately with status 503, health probes included.
     FailFast,
-    /// Runs them and then answers with status 503.
+    /// Runs requests and then returns status 503.
     FailSlowly,
-    /// Runs them and never answers.
+    /// Runs requests and never responds.
     Silent,
-    /// Breaks answers off after half of their bytes.
+    /// Aborts response bodies of [`BYTES`] after half of their bytes.
     BreakAnswers,
 }
 
-/// How the upstream behaves.
+/// Configurable behaviour of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Behaviour {
-    /// Time that one request takes once it has a slot.
+    /// Time for which a request occupies its slot, in microseconds.
     pub service_micros: u64,
-    /// Requests served at once.
+    /// Number of requests that are served concurrently.
     pub slots: usize,
-    /// What it does with requests.
+    /// How requests are handled.
     pub manner: Manner,
-    /// Probes are never answered.
+    /// Whether health probes never get a response.
     pub hang_probes: bool,
-    /// A request for this path ends the whole process once its body has come and half of its
+    /// Path on which the upstream crashes, once the request body has been received and half of the
     /// service time has passed.
     pub crashes_on: Option<String>,
-    /// How long the process is down after a crash.
+    /// Time for which the upstream is down after a crash, in milliseconds.
     pub down_millis: u64,
-    /// How long it serves after that before it announces its start.
+    /// Time between the restart after a crash and its announcement, in milliseconds.
     pub unannounced_millis: u64,
 }
 
@@ -107,26 +107,26 @@
     }
 }
 
-/// What ran here.
+/// Counts of the requests and runs of one upstream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
-    /// Runs by request id.
+    /// Number of runs by request id.
     pub runs: HashMap<String, u32>,
-    /// Requests that reached this upstream, probes excluded.
+    /// Number of requests that reached this upstream, probes excluded.
     pub requests: u64,
-    /// Probes that reached this upstream.
+    /// Number of probes that reached this upstream.
     pub probes: u64,
-    /// Most requests open at once.
+    /// Maximum number of concurrently open requests.
     pub open_most: u64,
-    /// Requests open now.
+    /// Number of open requests.
     pub open: u64,
-    /// Times the process crashed.
+    /// Number of crashes.
     pub crashes: u64,
-    /// Most requests in any second while it was cold.
+    /// Maximum number of requests within one second while the upstream was cold.
     pub cold_most: usize,
 }
 
-/// An upstream, shared by its connections.
+/// State of an upstream, shared by its connections.
 #[derive(Debug)]
 pub struct Upstream {
     name: Arc<str>,
@@ -139,54 +139,56 @@
     behaviour: Behaviour,
     slots: Arc<Semaphore>,
     account: Account,
-    cold: Cold,
+    cold_period: ColdPeriod,
 }
 
-/// A cold spell.
+/// Period in which the upstream is cold, with its recent requests.
 #[derive(Debug, Default)]
-struct Cold {
+struct ColdPeriod {
     until: Option<Instant>,
-    /// When requests arrived in it, of the last second.
-    arrived: VecDeque<Instant>,
+    /// Arrival times of the requests within the last [`COLD_WINDOW`].
+    arrivals: VecDeque<Instant>,
 }
 
-impl Cold {
-    fn left(&self, now: Instant) -> Duration {
+impl ColdPeriod {
+    fn remaining(&self, now: Instant) -> Duration {
         let until = self.until.unwrap_or(now);
         until.saturating_duration_since(now)
     }
 
-    /// A request arrived; returns how many did in the second before, if it is cold.
-    fn arrived(&mut self, now: Instant) -> usize {
-        if self.left(now).is_zero() {
-            self.arrived.clear();
+    /// Records the arrival of a request and returns the number of arrivals in the last
+    /// [`COLD_WINDOW`], or 0 if the upstream isn't cold.
+    fn record_arrival(&mut self, now: Instant) -> usize {
+        if self.remaining(now).is_zero() {
+            self.arrivals.clear();
             return 0;
         }
-        self.arrived.retain(|at| now < *at + COLD_WINDOW);
-        self.arrived.push_back(now);
-        self.arrived.len()
+        self.arrivals.retain(|at| now < *at + COLD_WINDOW);
+        self.arrivals.push_back(now);
+        self.arrivals.len()
     }
 }
 
-/// Answer to an ordinary request, in JSON; a caller checks that it is its own.
+/// JSON response to an ordinary request. It repeats what the upstream received, so that a caller can
+/// check that the response belongs to its own request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Result {
-    /// The upstream that answered.
+    /// Name of the upstream that sent the response.
     pub host: String,
-    /// The caller's id of the request.
+    /// Request id given by the caller.
     pub id: String,
-    /// Client account named to the upstream.
+    /// Client account that the upstream received.
     pub client_account: String,
-    /// Milliseconds left, as told to the upstream.
+    /// Milliseconds until the deadline, as the upstream received them.
     pub left_millis: String,
-    /// Bytes of the request body.
+    /// Length of the request body in bytes.
     pub body_bytes: u64,
     /// BLAKE3 digest of the request body, in hexadecimal.
     pub body_digest: String,
 }
 
 impl Result {
-    /// Reads an answer; `None` if it is something else.
+    /// Parses a response body; returns `None` if it isn't the JSON of this type.
     #[must_use]
     pub fn parse(body: &[u8]) -> Option<Self> {
         serde_json::from_slice(body).ok()
@@ -194,7 +196,7 @@
 }
 
 impl Upstream {
-    /// An upstream of this name.
+    /// Creates an upstream with this name and behaviour.
     #[must_use]
     pub fn new(name: &str, behaviour: Behaviour) -> Self {
         Self {
@@ -203,13 +205,14 @@
                 slots: Arc::new(Semaphore::new(behaviour.slots)),
                 behaviour,
                 account: Account::default(),
-                cold: Cold::default(),
+                cold_period: ColdPeriod::default(),
             }),
             crash: Notify::new(),
         }
     }
 
-    /// Replaces the behaviour; requests that hold slots keep them.
+    /// Replaces the behaviour. Requests in progress keep their slots; if the number of slots changes,
+    /// these don't count against the new number.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         let mut state = self.state.lock();
         if behaviour.slots != state.behaviour.slots {
@@ -223,12 +226,12 @@
         *runs.entry(id.to_owned()).or_default() += 1;
     }
 
-    /// The upstream turns cold for so long, without a word.
-    pub fn turn_cold(&self, lasts: Duration) {
-        self.state.lock().cold.until = Some(Instant::now() + lasts);
+    /// Makes the upstream cold for `duration`. No announcement is sent; only [`COLD`] reports it.
+    pub fn turn_cold(&self, duration: Duration) {
+        self.state.lock().cold_period.until = Some(Instant::now() + duration);
     }
 
-    /// The behaviour in force.
+    /// Returns the current behaviour.
     #[must_use]
     pub fn behaviour(&self) -> Behaviour {
         self.state.lock().behaviour.clone()
@@ -239,35 +242,35 @@
         self.crash.notified().await;
     }
 
-    /// What ran so far.
+    /// Returns the counts since the start of the stand-in.
     #[must_use]
     pub fn account(&self) -> Account {
         self.state.lock().account.clone()
     }
 }
 
-/// Serves until `phase` closes.
+/// Serves requests until `phase` is [`Phase::Closing`].
 pub async fn run(
     listener: TcpListener,
     upstream: Arc<Upstream>,
     phase: watch::Receiver<Phase>,
 ) -> Ended {
     let handler = Function::new(upstream, |upstream, request| -> Answer {
-        Box::pin(answer(upstream, request))
+        Box::pin(handle(upstream, request))
     });
     serve(listener, handler, Protocol::Http1, Limits::default(), phase).await
 }
 
-async fn answer(upstream: Arc<Upstream>, request: Request<Body>) -> Response<Body> {
+async fn handle(upstream: Arc<Upstream>, request: Request<Body>) -> Response<Body> {
     let behaviour = upstream.behaviour();
     match request.uri().path() {
         BEHAVIOUR => return set_behaviour(&upstream, request).await,
         ACCOUNT => return reply::json(StatusCode::OK, &upstream.account()),
-        HEALTH => return probe(&upstream, &behaviour).await,
+        HEALTH => return probe_response(&upstream, &behaviour).await,
         _ => {}
     }
     let id = header(&request, REQUEST_ID);
-    let _open = Open::new(Arc::clone(&upstream));
+    let _open_request = OpenRequest::new(Arc::clone(&upstream));
     if behaviour.manner == Manner::FailFast {
         return reply::text(StatusCode::SERVICE_UNAVAILABLE, "failing fast\n");
     }
@@ -283,12 +286,12 @@
         },
     };
     upstream.count_run(&id);
-    let response = work(&upstream, &behaviour, request, id).await;
+    let response = run_request(&upstream, &behaviour, request, id).await;
     drop(slot);
     response
 }
 
-async fn work(
+async fn run_request(
     upstream: &Upstream,
     behaviour: &Behaviour,
     request: Request<Body>,
@@ -311,12 +314,14 @@
     if behaviour.manner == Manner::FailSlowly {
         return reply::text(StatusCode::SERVICE_UNAVAILABLE, "failing slowly\n");
     }
-    if request.uri().path() == DEEPER {
-        return deeper();
+    if request.uri().path() == NESTED_REFUSAL {
+        return nested_refusal();
     }
     let mut response = match (request.method(), length) {
-        (&Method::GET, Some(length)) => bytes(length, behaviour.manner == Manner::BreakAnswers),
-        _ => result(upstream, request, id).await,
+        (&Method::GET, Some(length)) => {
+            bytes_response(length, behaviour.manner == Manner::BreakAnswers)
+        }
+        _ => result_response(upstream, request, id).await,
     };
     if let Some(traceparent) = traceparent {
         response.headers_mut().insert(SEEN_TRACEPARENT, traceparent);
@@ -327,7 +332,7 @@
     response
 }
 
-/// Ends the whole process; nobody hears an answer any more.
+/// Simulates a crash of the upstream process. The request never gets a response.
 async fn crash(
     upstream: &Upstream,
     service_time: Duration,
@@ -340,7 +345,11 @@
     std::future::pending().await
 }
 
-async fn result(upstream: &Upstream, request: Request<Body>, id: String) -> Response<Body> {
+async fn result_response(
+    upstream: &Upstream,
+    request: Request<Body>,
+    id: String,
+) -> Response<Body> {
     let client_account = header(&request, CLIENT_ACCOUNT);
     let left_millis = header(&request, TIMEOUT);
     let mut digest = blake3::Hasher::new();
@@ -366,8 +375,9 @@
     reply::json(StatusCode::OK, &result)
 }
 
-/// The refusal of a deeper call, passed on as it came.
-fn deeper() -> Response<Body> {
+/// Returns the refusal of a nested call with its headers, as an upstream does that forwards it
+/// unchanged.
+fn nested_refusal() -> Response<Body> {
     let now = Instant::now();
     let refusal = Refusal::not_run(Reason::Busy, now);
     let mut response = problem::response(now, &refusal, "deeper", "deeper", Precision::Seconds);
@@ -375,16 +385,22 @@
     response
 }
 
-/// A body of `length` bytes; a broken one ends with an error half way.
-fn bytes(length: usize, broken: bool) -> Response<Body> {
-    let end = if broken { length / 2 } else { length };
+/// Returns a response with a body of `length` bytes. A broken body ends with an error after half of
+/// them.
+fn bytes_response(length: usize, is_broken: bool) -> Response<Body> {
+    let end = if is_broken { length / 2 } else { length };
     let chunks = stream::unfold(0_usize, move |sent| async move {
         if sent < end {
-            let next = CHUNK.min(end - sent);
+            let next = CHUNK_BYTES.min(end - sent);
             let frame = Frame::data(Bytes::from(vec![b'x'; next]));
             return Some((Ok(frame), sent + next));
         }
-        (broken && sent == end).then(|| (Err(io::Error::other("broken on command")), length + 1))
+        (is_broken && sent == end).then(|| {
+            (
+                Err(io::Error::other("response body broken off as configured")),
+                length + 1,
+            )
+        })
     });
     let mut response = Response::new(Body::new(StreamBody::new(chunks)));
     let headers = response.headers_mut();
@@ -392,7 +408,7 @@
     response
 }
 
-async fn probe(upstream: &Upstream, behaviour: &Behaviour) -> Response<Body> {
+async fn probe_response(upstream: &Upstream, behaviour: &Behaviour) -> Response<Body> {
     upstream.state.lock().account.probes += 1;
     if behaviour.hang_probes {
         std::future::pending::<()>().await;
@@ -401,14 +417,19 @@
         return reply::text(StatusCode::SERVICE_UNAVAILABLE, "failing fast\n");
     }
     let mut response = reply::text(StatusCode::OK, "ready\n");
-    let left = upstream.state.lock().cold.left(Instant::now()).as_millis();
+    let cold_millis = upstream
+        .state
+        .lock()
+        .cold_period
+        .remaining(Instant::now())
+        .as_millis();
     let load = format!("{{\"slots\":{}}}", behaviour.slots);
-    let told = [
+    let headers = [
         (SERVER, upstream.name.to_string()),
         (LOAD, load),
-        (COLD, left.to_string()),
+        (COLD, cold_millis.to_string()),
     ];
-    for (name, value) in told {
+    for (name, value) in headers {
         if let Ok(value) = value.parse() {
             response.headers_mut().insert(name, value);
         }
@@ -417,7 +438,7 @@
 }
 
 async fn set_behaviour(upstream: &Upstream, request: Request<Body>) -> Response<Body> {
-    match reply::read_json(request.into_body(), BODY_MOST).await {
+    match reply::read_json(request.into_body(), MAX_BEHAVIOUR_BYTES).await {
         Ok(behaviour) => {
             upstream.set_behaviour(behaviour);
             reply::text(StatusCode::OK, "set\n")
@@ -435,15 +456,15 @@
         .to_owned()
 }
 
-/// Counts a request as open while it is worked on.
-struct Open(Arc<Upstream>);
+/// Counts a request as open for as long as this value lives.
+struct OpenRequest(Arc<Upstream>);
 
-impl Open {
+impl OpenRequest {
     fn new(upstream: Arc<Upstream>) -> Self {
         let mut state = upstream.state.lock();
-        let cold = state.cold.arrived(Instant::now());
+        let cold_requests = state.cold_period.record_arrival(Instant::now());
         let account = &mut state.account;
-        account.cold_most = account.cold_most.max(cold);
+        account.cold_most = account.cold_most.max(cold_requests);
         account.requests += 1;
         account.open += 1;
         account.open_most = account.open_most.max(account.open);
@@ -452,7 +473,7 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.0.state.lock().account.open -= 1;
     }
