--- a/crates/standin/src/bin/trial.rs
+++ b/crates/standin/src/bin/trial.rs
@@ -1,4 +1,5 @@
-//! `standin-trial`: what nodes cost, measured on real processes on loopback.
+//! `standin-trial`: measures the resource use and added latency of nodes that run as real processes
+//! on the loopback interface.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -21,52 +22,52 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Measures what nodes cost, on loopback; every trial ends by itself.
+        /// Measures the cost of nodes on loopback; every trial ends by itself.
         cmd standin-trial {
             /// The node's binary.
             required binary: PathBuf
-            /// Cost of control at rest against the number of members.
+            /// Cost of control traffic without load, by number of members.
             cmd control {
                 /// Numbers of members, separated by commas.
                 required members: String
-                /// Seconds measured, 20 by default.
+                /// Duration of the measurement in seconds, 20 by default.
                 optional --seconds seconds: u64
-                /// Seconds waited after all have joined, 15 by default.
+                /// Seconds between the join of all members and the measurement, 15 by default.
                 optional --settle seconds: u64
-                /// One exchange in so many milliseconds, 500 by default.
+                /// Interval of exchanges in milliseconds, 500 by default.
                 optional --period-ms millis: u64
             }
-            /// Cost of one exchange against the size of the table, by plain calls.
+            /// Cost of one exchange by size of the membership table, without a network.
             cmd tables {
                 /// Numbers of members, separated by commas.
                 required members: String
             }
-            /// Added latency and processor time per call, both deployments.
+            /// Added latency and processor time per call, in both deployments.
             cmd path {
-                /// Calls a second for each node, separated by commas.
+                /// Calls per second and node, separated by commas.
                 required rates: String
-                /// Seconds for each rate, 5 by default.
+                /// Duration of the load at each rate in seconds, 5 by default.
                 optional --seconds seconds: u64
             }
-            /// Claims: calls to the store and latency against keyed calls a second.
+            /// Claims: writes to the store and latency, by rate of calls with an idempotency key.
             cmd claims {
-                /// Keyed calls a second over all nodes, separated by commas.
+                /// Calls with an idempotency key per second over all nodes, separated by commas.
                 required rates: String
             }
-            /// Memory of 1,000 requests in progress.
+            /// Memory use of 1,000 requests in progress.
             cmd memory {}
             /// Time until a preset is in force on every node.
             cmd presets {
                 /// Numbers of members, separated by commas.
                 required members: String
             }
-            /// A large client account at ten times its share beside small ones.
+            /// Latency of small client accounts beside a large one that sends ten times its share.
             cmd fairness {}
         }
     }
 }
 
-/// Hosts of a deployment, by service.
+/// Services of the two deployments and their number of hosts.
 const PRESSE: [(&str, usize); 2] = [("field-service", 9), ("parts", 3)];
 const WISLA: [(&str, usize); 2] = [("lots", 7), ("settlement", 4)];
 
@@ -79,14 +80,14 @@
             let seconds = control.seconds.unwrap_or(20);
             let settle = control.settle.unwrap_or(15);
             if let Some(millis) = control.period_ms {
-                PERIOD_MILLIS.store(millis, Ordering::Relaxed);
+                EXCHANGE_INTERVAL_MILLIS.store(millis, Ordering::Relaxed);
             }
-            for members in numbers(&control.members) {
+            for members in parse_numbers(&control.members) {
                 control_cost(&binary, members, settle, seconds).await;
             }
         }
         flags::StandinTrialCmd::Tables(tables) => {
-            for members in numbers(&tables.members) {
+            for members in parse_numbers(&tables.members) {
                 println!("{}", tables::measure(members));
             }
         }
@@ -96,19 +97,26 @@
                 &binary,
                 "presse-maurice",
                 &PRESSE,
-                &numbers(&path.rates),
+                &parse_numbers(&path.rates),
+                seconds,
+            )
+            .await;
+            path_cost(
+                &binary,
+                "wisla",
+                &WISLA,
+                &parse_numbers(&path.rates),
                 seconds,
             )
             .await;
-            path_cost(&binary, "wisla", &WISLA, &numbers(&path.rates), seconds).await;
         }
         flags::StandinTrialCmd::Claims(claims) => {
-            claims_cost(&binary, &numbers(&claims.rates)).await;
+            claims_cost(&binary, &parse_numbers(&claims.rates)).await;
         }
         flags::StandinTrialCmd::Memory(_) => memory_cost(&binary).await,
         flags::StandinTrialCmd::Presets(presets) => {
-            for members in numbers(&presets.members) {
-                presets_time(&binary, members).await;
+            for members in parse_numbers(&presets.members) {
+                preset_activation_time(&binary, members).await;
             }
         }
         flags::StandinTrialCmd::Fairness(_) => fairness(&binary).await,
@@ -116,23 +124,26 @@
     ExitCode::SUCCESS
 }
 
-fn numbers(written: &str) -> Vec<usize> {
-    written
-        .split(',')
+fn parse_numbers(list: &str) -> Vec<usize> {
+    list.split(',')
         .filter_map(|number| number.parse().ok())
         .collect()
 }
 
-/// Period of exchanges in every node, in milliseconds.
-static PERIOD_MILLIS: AtomicU64 = AtomicU64::new(500);
+/// Interval of membership exchanges of every node, in milliseconds.
+static EXCHANGE_INTERVAL_MILLIS: AtomicU64 = AtomicU64::new(500);
 
 fn adjust(settings: &mut Settings) {
     settings.logs.level = String::from("error,mintridge_node::node=info");
-    let period = PERIOD_MILLIS.load(Ordering::Relaxed);
+    let period = EXCHANGE_INTERVAL_MILLIS.load(Ordering::Relaxed);
     settings.membership.period = Duration::from_millis(period);
 }
 
-async fn scene(binary: &Path, services: &[(&'static str, usize)], behaviour: Behaviour) -> Scene {
+async fn start_scene(
+    binary: &Path,
+    services: &[(&'static str, usize)],
+    behaviour: Behaviour,
+) -> Scene {
     let plan = Plan {
         services: services.to_vec(),
         behaviour,
@@ -143,7 +154,7 @@
     Scene::start(plan).await.expect("the scene starts")
 }
 
-fn quick() -> Behaviour {
+fn fast_behaviour() -> Behaviour {
     Behaviour {
         service_micros: 2_000,
         slots: 200,
@@ -152,7 +163,7 @@
 }
 
 async fn control_cost(binary: &Path, members: usize, settle: u64, seconds: u64) {
-    let scene = scene(binary, &[("service", members)], quick()).await;
+    let scene = start_scene(binary, &[("service", members)], fast_behaviour()).await;
     tokio::time::sleep(Duration::from_secs(settle)).await;
     let calls = scene.store.calls();
     let before = Cost::of(&scene).await;
@@ -173,7 +184,7 @@
     rates: &[usize],
     seconds: u64,
 ) {
-    let scene = scene(binary, services, quick()).await;
+    let scene = start_scene(binary, services, fast_behaviour()).await;
     let service = services[0].0;
     let upstreams: Vec<SocketAddr> = scene
         .hosts
@@ -190,9 +201,9 @@
             services: vec![(service.to_owned(), 1.0)],
             ..Load::default()
         };
-        let straight = load::run(&load, |_| {}).await;
+        let direct = load::run(&load, |_| {}).await;
         let before = Cost::of(&scene).await;
-        let through = load::run(
+        let routed = load::run(
             &Load {
                 targets: scene.entries(),
                 ..load
@@ -203,38 +214,38 @@
         let spent = Cost::of(&scene).await.since(&before);
         println!(
             "{name}, {rate} calls/s a node: {}",
-            added(&straight, &through)
+            added_latency(&direct, &routed)
         );
         println!(
             "  {}, processor us a call {:.0}",
             spent.per_node(),
-            spent.micros_per(through.sent())
+            spent.micros_per(routed.sent())
         );
     }
 }
 
-fn added(straight: &Report, through: &Report) -> String {
+fn added_latency(direct: &Report, routed: &Report) -> String {
     let parts: Vec<String> = [("p50", 50.0), ("p99", 99.0), ("p99.9", 99.9)]
         .into_iter()
         .map(|(name, percent)| {
-            let before = straight.percentile(percent).as_secs_f64() * 1e3;
-            let after = through.percentile(percent).as_secs_f64() * 1e3;
+            let direct_ms = direct.percentile(percent).as_secs_f64() * 1e3;
+            let routed_ms = routed.percentile(percent).as_secs_f64() * 1e3;
             format!(
-                "{name} {before:.2} -> {after:.2} (+{:.2}) ms",
-                after - before
+                "{name} {direct_ms:.2} -> {routed_ms:.2} (+{:.2}) ms",
+                routed_ms - direct_ms
             )
         })
         .collect();
-    let answered = through.outcome("answered 200");
+    let answered = routed.outcome("answered 200");
     format!(
         "{}, answered {answered} of {}",
         parts.join(", "),
-        through.sent()
+        routed.sent()
     )
 }
 
 async fn claims_cost(binary: &Path, rates: &[usize]) {
-    let scene = scene(binary, &PRESSE, quick()).await;
+    let scene = start_scene(binary, &PRESSE, fast_behaviour()).await;
     for rate in rates {
         let before = scene.store.calls();
         #[allow(clippy::cast_precision_loss)]
@@ -259,8 +270,8 @@
 }
 
 async fn memory_cost(binary: &Path) {
-    let scene = scene(binary, &PRESSE, quick()).await;
-    let rest = Cost::of(&scene).await;
+    let scene = start_scene(binary, &PRESSE, fast_behaviour()).await;
+    let idle = Cost::of(&scene).await;
     for index in 0..scene.hosts.len() {
         scene.behave(index, |behaviour| behaviour.manner = Manner::Silent);
     }
@@ -272,21 +283,21 @@
         timeout: Duration::from_secs(8),
         ..Load::default()
     };
-    let sending = tokio::spawn(async move { load::run(&load, |_| {}).await });
+    let load_task = tokio::spawn(async move { load::run(&load, |_| {}).await });
     tokio::time::sleep(Duration::from_secs(4)).await;
     let busy = Cost::of(&scene).await;
     let open: u64 = scene.hosts.iter().map(|s| s.upstream.account().open).sum();
-    let grown = busy.resident_bytes.saturating_sub(rest.resident_bytes);
+    let added_bytes = busy.resident_bytes.saturating_sub(idle.resident_bytes);
     println!(
         "at rest {} a node; {open} requests in progress take {} KiB over both nodes",
-        rest.memory(),
-        grown / 1024
+        idle.memory(),
+        added_bytes / 1024
     );
-    let _ = sending.await;
+    let _ = load_task.await;
 }
 
-async fn presets_time(binary: &Path, members: usize) {
-    let scene = scene(binary, &[("service", members)], quick()).await;
+async fn preset_activation_time(binary: &Path, members: usize) {
+    let scene = start_scene(binary, &[("service", members)], fast_behaviour()).await;
     let mut slowest = Duration::ZERO;
     for change in 0..10_u32 {
         let preset = Preset {
@@ -296,14 +307,14 @@
         let in_force = scene
             .put_in_force(preset, &format!("change-{change}"))
             .await;
-        let accepted = Instant::now();
+        let accepted_at = Instant::now();
         let revision = in_force.expect("accepted").revision;
         scene
             .until("in force", |status| {
                 status.view.in_force.revision >= revision
             })
             .await;
-        slowest = slowest.max(accepted.elapsed());
+        slowest = slowest.max(accepted_at.elapsed());
     }
     println!(
         "members {members:>4}: slowest of 10 changes in force everywhere after {:.0} ms",
@@ -311,14 +322,14 @@
     );
 }
 
-/// Small client accounts beside a large one that sends ten times its share.
+/// Measures small client accounts alone, and beside a large one that sends ten times its share.
 async fn fairness(binary: &Path) {
     let behaviour = Behaviour {
         service_micros: 20_000,
         slots: 12,
         ..Behaviour::default()
     };
-    let scene = scene(binary, &PRESSE, behaviour).await;
+    let scene = start_scene(binary, &PRESSE, behaviour).await;
     for (name, large) in [("alone", 0.0), ("beside a large client_account", 6_000.0)] {
         let mut client_accounts: Vec<(String, f64)> =
             (0..10).map(|n| (format!("small-{n}"), 60.0)).collect();
--- a/crates/standin/src/tables.rs
+++ b/crates/standin/src/tables.rs
@@ -1,4 +1,5 @@
-//! Cost of membership against the size of the table, by plain calls in one process.
+//! Measures how the cost of membership exchanges grows with the number of members. The tables
+//! exchange records by plain function calls in one process, without a network.
 
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -8,68 +9,68 @@
 use mintridge_core::configs::membership::Settings;
 use mintridge_core::membership::{Record, State, Summary, Table, Upstream, Version};
 
-/// Restarts among the members while rounds are measured.
-const NEWS_EVERY: usize = 4;
+/// While rounds are measured, one member changes its record every this many rounds.
+const ROUNDS_PER_CHANGE: usize = 4;
 const ROUNDS: u32 = 60;
 
-/// What was measured.
+/// Cost of membership exchanges at one number of members.
 #[derive(Clone, Copy, Debug)]
-pub struct Measured {
+pub struct Measurement {
     members: usize,
-    per_exchange: Duration,
-    rounds_to_all: u32,
+    exchange_time: Duration,
+    rounds_to_converge: u32,
     records_per_exchange: f64,
 }
 
-impl fmt::Display for Measured {
+impl fmt::Display for Measurement {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "members {:>4}: {:.1} us for both sides of an exchange, {:.2} records in it, news everywhere after {} rounds",
             self.members,
-            self.per_exchange.as_secs_f64() * 1e6,
+            self.exchange_time.as_secs_f64() * 1e6,
             self.records_per_exchange,
-            self.rounds_to_all,
+            self.rounds_to_converge,
         )
     }
 }
 
-/// Joins tables by plain calls and measures their exchanges.
+/// Measures exchanges between the tables of `members` hosts that all know each other.
 #[must_use]
-pub fn measure(members: usize) -> Measured {
-    let mut tables = fleet(members);
+pub fn measure(members: usize) -> Measurement {
+    let mut tables = build_tables(members);
     let now = Instant::now();
-    change(&mut tables[0]);
-    let mut rounds_to_all = 0;
+    change_upstream(&mut tables[0]);
+    let mut rounds_to_converge = 0;
     while tables
         .iter()
         .any(|table| table.digest() != tables[0].digest())
     {
-        round(&mut tables, now);
-        rounds_to_all += 1;
+        run_round(&mut tables, now);
+        rounds_to_converge += 1;
     }
     let mut records = 0;
-    let began = Instant::now();
-    for number in 0..ROUNDS {
-        if usize::try_from(number)
+    let started_at = Instant::now();
+    for round in 0..ROUNDS {
+        if usize::try_from(round)
             .unwrap_or(0)
-            .is_multiple_of(NEWS_EVERY)
+            .is_multiple_of(ROUNDS_PER_CHANGE)
         {
-            let index = usize::try_from(number).unwrap_or(0) % members;
-            change(&mut tables[index]);
+            let index = usize::try_from(round).unwrap_or(0) % members;
+            change_upstream(&mut tables[index]);
         }
-        records += round(&mut tables, now);
+        records += run_round(&mut tables, now);
     }
     let exchanges = ROUNDS * u32::try_from(members).unwrap_or(u32::MAX);
-    Measured {
+    Measurement {
         members,
-        per_exchange: began.elapsed() / exchanges,
-        rounds_to_all,
+        exchange_time: started_at.elapsed() / exchanges,
+        rounds_to_converge,
         records_per_exchange: f64::from(records) / f64::from(exchanges),
     }
 }
 
-fn change(table: &mut Table) {
+fn change_upstream(table: &mut Table) {
     let slots = table
         .own()
         .upstream
@@ -82,7 +83,7 @@
     }));
 }
 
-fn fleet(members: usize) -> Vec<Table> {
+fn build_tables(members: usize) -> Vec<Table> {
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let record = |index: usize| Record {
         host: Arc::from(format!("host-{index}")),
@@ -115,26 +116,26 @@
         .collect()
 }
 
-/// One exchange begun by each; returns the records sent.
-fn round(tables: &mut [Table], now: Instant) -> u32 {
-    let mut sent = 0;
+/// Lets each table start one exchange and returns the number of records sent.
+fn run_round(tables: &mut [Table], now: Instant) -> u32 {
+    let mut sent_records = 0;
     for index in 0..tables.len() {
         let Some(peer) = tables[index].next_peer() else {
             continue;
         };
-        let number = peer.host.rsplit('-').next().and_then(|n| n.parse().ok());
-        let other: usize = number.unwrap_or(0);
+        let peer_index = peer.host.rsplit('-').next().and_then(|n| n.parse().ok());
+        let peer_index: usize = peer_index.unwrap_or(0);
         let ours = tables[index].take_updates();
-        let known: Vec<Summary> = ours.iter().map(Record::summary).collect();
+        let sent_summaries: Vec<Summary> = ours.iter().map(Record::summary).collect();
         for record in ours {
-            tables[other].merge(now, record);
+            tables[peer_index].merge(now, record);
         }
-        let theirs = tables[other].take_updates_except(&known);
-        sent += u32::try_from(known.len() + theirs.len()).unwrap_or(u32::MAX);
+        let theirs = tables[peer_index].take_updates_except(&sent_summaries);
+        sent_records += u32::try_from(sent_summaries.len() + theirs.len()).unwrap_or(u32::MAX);
         for record in theirs {
             tables[index].merge(now, record);
         }
-        let _ = (tables[index].digest(), tables[other].digest());
+        let _ = (tables[index].digest(), tables[peer_index].digest());
     }
-    sent
+    sent_records
 }
