--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -1,4 +1,4 @@
-//! The thread that claims idempotency keys in the store for this node.
+//! Claims idempotency keys in the store for this node, on a thread of its own.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,26 +13,26 @@
 
 use crate::context::{Context, Stage};
 
-/// How long the thread sleeps when nothing is due.
-const IDLE: Duration = Duration::from_hours(1);
+/// Sleep time of the thread when nothing is due.
+const IDLE_SLEEP: Duration = Duration::from_hours(1);
 
-/// What the other duties ask of this one.
+/// A job that another duty of this node submits.
 #[derive(Debug)]
 pub enum Job {
-    /// Claim a key before its request is handed over.
+    /// Claim a key before its request is handed over to the upstream.
     Ask {
-        /// The claim.
+        /// Claim to make.
         claim: Claim,
-        /// No answer is wanted after this instant.
+        /// The answer is useless after this instant.
         deadline: Instant,
-        /// Where the answer goes.
+        /// Receives the verdict.
         answer: oneshot::Sender<Verdict>,
     },
-    /// Give a key back whose request was refused everywhere.
+    /// Release a key whose request was refused by every host.
     Release(Claim),
 }
 
-/// The lease on which new claims hang.
+/// The store lease that new claims are attached to.
 struct Lease {
     id: i64,
     use_until: Instant,
@@ -45,15 +45,15 @@
     answers: HashMap<Ticket, oneshot::Sender<Verdict>>,
     next_ticket: u64,
     lease: Option<Lease>,
-    /// The epoch of the store in which the claims known here were made.
+    /// Store epoch in which the claims known to this node were made.
     epoch: Option<Epoch>,
 }
 
-/// Works until the node ends.
+/// Processes jobs until the node ends.
 pub async fn run(context: Arc<Context>, mut jobs: mpsc::Receiver<Job>) {
     let settings = &context.settings;
     let mut stage = context.latest.stage.subscribe();
-    let mut newest = context.epochs.subscribe();
+    let mut newest_epoch = context.epochs.subscribe();
     let store = Client::new(settings.store.address, settings.store.timeout);
     let mut worker = Worker {
         store: store.in_epochs(context.epochs.clone()),
@@ -66,29 +66,29 @@
     };
     loop {
         while let Ok(job) = jobs.try_recv() {
-            worker.take(job);
+            worker.submit(job);
         }
-        if worker.act().await {
+        if worker.run_next_action().await {
             continue;
         }
         let wake_at = worker
             .claims
             .wake_at()
-            .unwrap_or_else(|| Instant::now() + IDLE);
+            .unwrap_or_else(|| Instant::now() + IDLE_SLEEP);
         tokio::select! {
             job = jobs.recv() => match job {
-                Some(job) => worker.take(job),
+                Some(job) => worker.submit(job),
                 None => return,
             },
             () = tokio::time::sleep_until(wake_at.into()) => {}
-            _ = newest.changed() => worker.follow_epoch(),
+            _ = newest_epoch.changed() => worker.follow_epoch(),
             _ = stage.wait_for(|stage| *stage == Stage::Ending) => return,
         }
     }
 }
 
 impl Worker {
-    fn take(&mut self, job: Job) {
+    fn submit(&mut self, job: Job) {
         match job {
             Job::Ask {
                 claim,
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Does what is due; false if nothing is.
-    async fn act(&mut self) -> bool {
+    /// Performs the next action that is due; returns false if there is none.
+    async fn run_next_action(&mut self) -> bool {
         let Some(action) = self.claims.poll(Instant::now()) else {
             return false;
         };
@@ -134,23 +134,24 @@
         true
     }
 
-    /// Takes in that the store has come back from an older copy, before any answer of the epoch
-    /// after it counts.
+    /// Detects a restore of the store from an older copy. Called before the reply to a store call
+    /// is used, since that reply may already come from the epoch after the restore.
     fn follow_epoch(&mut self) {
-        let newest = self.context.epochs.newest();
-        if let Some(rise) = Rise::between(self.epoch, newest) {
+        let newest_epoch = self.context.epochs.newest();
+        if let Some(rise) = Rise::between(self.epoch, newest_epoch) {
             log::warn!(
                 epoch_before = rise.before.0,
                 epoch = rise.now.0;
-                "the store came back from an older copy: claims are written again, none is granted"
+                "the store was restored from an older copy: writing claims again, granting none yet"
             );
             self.lease = None;
             self.claims.store_restored(Instant::now());
         }
-        self.epoch = newest;
+        self.epoch = newest_epoch;
     }
 
-    /// A store that names no epochs cannot show its return.
+    /// Reads from the store to learn its epoch, which reveals a restore from an older copy. A store
+    /// that sends no epochs cannot reveal a restore, so it is not read.
     async fn check(&self) {
         if self.context.epochs.newest().is_none() {
             return;
@@ -158,7 +159,7 @@
         self.context.metrics.store_call("claim-check");
         let read = self.store.list(keys::IN_FORCE, Freshness::MayLag).await;
         if let Err(error) = read {
-            log::debug!(error:% = error; "no sign of the store");
+            log::debug!(error:% = error; "store check failed");
         }
     }
 
@@ -176,14 +177,14 @@
         let txn = wire::Txn {
             compare: claims.iter().map(absent).collect(),
             success: claims.iter().map(|claim| put(claim, lease)).collect(),
-            failure: claims.iter().map(range).collect(),
+            failure: claims.iter().map(range_operation).collect(),
         };
         self.context.metrics.store_call("claim");
         match self.store.etcd_txn(&txn).await {
             Ok(reply) if reply.succeeded => Completion::Applied,
             Ok(reply) => Completion::Conflict(holders(&reply)),
             Err(error) => {
-                log::warn!(error:% = error, keys = claims.len(); "claims not confirmed");
+                log::warn!(error:% = error, keys = claims.len(); "store did not confirm claims");
                 self.lease = None;
                 if error.proves_no_effect() {
                     Completion::NotApplied
@@ -196,7 +197,7 @@
 
     async fn read(&self, claims: &[Claim]) -> Option<Vec<Option<Owner>>> {
         let txn = wire::Txn {
-            success: claims.iter().map(range).collect(),
+            success: claims.iter().map(range_operation).collect(),
             ..wire::Txn::default()
         };
         self.context.metrics.store_call("claim-read");
@@ -213,16 +214,19 @@
         };
         let txn = wire::Txn {
             compare: vec![unchanged],
-            success: vec![wire::Operation::Delete(range_of(claim))],
+            success: vec![wire::Operation::Delete(key_range(claim))],
             failure: vec![],
         };
         self.context.metrics.store_call("release");
         if let Err(error) = self.store.etcd_txn(&txn).await {
-            log::warn!(error:% = error; "claim not released: its key stays unknown");
+            log::warn!(
+                error:% = error;
+                "claim not released: repeats with its key are refused with an unknown outcome"
+            );
         }
     }
 
-    /// A lease that outlives every claim hung on it by the time keys are remembered.
+    /// Returns a lease that lives for at least `remember_for` after a claim is attached to it.
     async fn lease(&mut self) -> Option<i64> {
         let now = Instant::now();
         if let Some(lease) = &self.lease
@@ -270,11 +274,11 @@
     })
 }
 
-fn range(claim: &Claim) -> wire::Operation {
-    wire::Operation::Range(range_of(claim))
+fn range_operation(claim: &Claim) -> wire::Operation {
+    wire::Operation::Range(key_range(claim))
 }
 
-fn range_of(claim: &Claim) -> wire::Range {
+fn key_range(claim: &Claim) -> wire::Range {
     wire::Range {
         key: keys::claim(&claim.key.0).into(),
         ..wire::Range::default()
