--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -1,4 +1,4 @@
-//! The entry: takes callers' requests, chooses hosts, tries again where that is safe.
+//! The entry: receives callers' requests, chooses a host for each, and retries where that is safe.
 
 mod attempt;
 mod candidates;
@@ -30,7 +30,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use self::attempt::Sent;
+use self::attempt::Outgoing;
 use self::candidates::candidates;
 use self::forward::forward;
 use crate::arrival::{self, Routing};
@@ -41,12 +41,12 @@
 use crate::request_log::{History, RequestLog};
 use crate::{reports, traces};
 
-/// When a caller is told to come back if no host offers its service.
-const NO_UPSTREAM_RETRY: Duration = Duration::from_secs(1);
-/// How often operators' view of the upstreams is renewed.
-const PUBLISH_EVERY: Duration = Duration::from_millis(500);
+/// Retry delay sent to a caller when no host offers its service.
+const NO_UPSTREAM_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Interval at which the operators' view of the upstreams is refreshed.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Everything the entry's requests share.
+/// State shared by all requests of the entry.
 pub struct Entry {
     context: Arc<Context>,
     placement: Mutex<Placement>,
@@ -57,16 +57,16 @@
     log: Arc<RequestLog>,
 }
 
-/// One upstream as this entry sees it, for operators.
+/// An upstream as this entry knows it, for operators.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Seen {
-    /// The host.
+    /// Host that the upstream runs on.
     pub host: Arc<str>,
-    /// Its service.
+    /// Service that the upstream offers.
     pub service: Arc<str>,
-    /// The last report that arrived.
+    /// Last load report received.
     pub report: Report,
-    /// Requests of this node that are on their way there or back.
+    /// Requests of this node in flight to the upstream.
     pub outstanding: u32,
 }
 
@@ -76,7 +76,7 @@
     let view = context.latest.view.subscribe();
     tokio::spawn(follow_view(Arc::clone(&entry), view));
     tokio::spawn(follow_settings(Arc::clone(&entry)));
-    tokio::spawn(publish_often(Arc::clone(&entry)));
+    tokio::spawn(publish_periodically(Arc::clone(&entry)));
     tokio::spawn(receive_reports(Arc::clone(&entry)));
     let limits = server::Limits {
         connections: context.settings.callers.connections_most,
@@ -97,15 +97,15 @@
     )
     .await;
     if ended.cut > 0 {
-        log::warn!(connections = ended.cut; "callers' requests were cut by the stop");
+        log::warn!(connections = ended.cut; "shutdown interrupted callers' requests");
     }
 }
 
-/// Takes each view of the members, the present one first.
+/// Applies each view of the members, beginning with the current one.
 ///
-/// Failure: a view that comes between a first reading and the subscription is never taken.
-/// Symptom: a node with few peers knows of no upstream until the next change, which may be
-/// never. One subscription, made before anything is read, misses none.
+/// Failure: a view that is published between the first read and the subscription is never applied.
+/// Symptom: a node with few peers knows no upstream until the next change, which may never come.
+/// The single subscription is made before the first read, so no view is missed.
 async fn follow_view(entry: Arc<Entry>, mut view: watch::Receiver<Arc<View>>) {
     loop {
         let current = Arc::clone(&view.borrow_and_update());
@@ -117,7 +117,7 @@
     }
 }
 
-/// Takes each settings file that was accepted.
+/// Applies each newly accepted version of the settings file.
 async fn follow_settings(entry: Arc<Entry>) {
     let mut settings = entry.context.latest.settings.subscribe();
     while settings.changed().await.is_ok() {
@@ -141,22 +141,22 @@
     .await;
 }
 
-async fn publish_often(entry: Arc<Entry>) {
+async fn publish_periodically(entry: Arc<Entry>) {
     loop {
         entry.publish();
         let open = entry.links.close_idle(Instant::now());
         entry.context.metrics.links(open);
-        tokio::time::sleep(PUBLISH_EVERY).await;
+        tokio::time::sleep(PUBLISH_INTERVAL).await;
     }
 }
 
 async fn answer(entry: Arc<Entry>, request: Request<Body>) -> Response<Body> {
     let now = Instant::now();
-    let number = entry.number();
+    let request_id = entry.create_request_id();
     let span = traces::root("entry", &entry.context, request.headers());
-    let mut history = History::new(&entry.log, now, &number);
-    let served = serve(Arc::clone(&entry), now, number, request, &mut history);
-    let response = traces::within(span, served).await;
+    let mut history = History::new(&entry.log, now, &request_id);
+    let serving = serve(Arc::clone(&entry), now, request_id, request, &mut history);
+    let response = traces::within(span, serving).await;
     entry.context.metrics.answered(now.elapsed(), &response);
     let refusal = problem::read(now, response.headers());
     history.answered(
@@ -169,19 +169,21 @@
 async fn serve(
     entry: Arc<Entry>,
     now: Instant,
-    number: Arc<str>,
+    request_id: Arc<str>,
     request: Request<Body>,
     history: &mut History,
 ) -> Response<Body> {
     let (parts, body) = request.into_parts();
     let settings = &entry.context.settings.callers;
-    let number = match arrival::request_id(settings, &number, &parts.headers) {
+    let request_id = match arrival::request_id(settings, &request_id, &parts.headers) {
         Ok(id) => id,
-        Err(error) => return entry.refuse_malformed(now, error, &number, &parts, 0),
+        Err(error) => return entry.refuse_malformed(now, error, &request_id, &parts, 0),
     };
-    history.identified(&number);
+    history.identified(&request_id);
     let routes = entry.context.latest.routes.borrow().clone();
-    let version = routes.as_ref().map_or(0, |known| known.table.version.0);
+    let version = routes
+        .as_ref()
+        .map_or(0, |document| document.table.version.0);
     history.read_by(version);
     let routing = match &routes {
         Some(document) => Routing::Table {
@@ -189,31 +191,31 @@
             count: entry.next_number.load(Ordering::Relaxed),
         },
         None if entry.context.settings.routes.key.is_some() => {
-            let refusal = Refusal::not_run(Reason::Unconfigured, now + NO_UPSTREAM_RETRY);
-            return entry.refuse(&refusal, &number);
+            let refusal = Refusal::not_run(Reason::Unconfigured, now + NO_UPSTREAM_RETRY_DELAY);
+            return entry.refuse(&refusal, &request_id);
         }
         None => Routing::Named {
             attempts: entry.context.settings.retry.attempts,
         },
     };
-    let read = match arrival::read(settings, now, Arc::clone(&number), &parts, routing) {
-        Ok(read) => read,
-        Err(error) => return entry.refuse_malformed(now, error, &number, &parts, version),
+    let parsed = match arrival::read(settings, now, Arc::clone(&request_id), &parts, routing) {
+        Ok(parsed) => parsed,
+        Err(error) => return entry.refuse_malformed(now, error, &request_id, &parts, version),
     };
-    history.routed(&read.head.service, read.head.deadline);
-    let fingerprint = entry.fingerprint(&read.head, &parts, &body);
+    history.routed(&parsed.head.service, parsed.head.deadline);
+    let fingerprint = entry.fingerprint(&parsed.head, &parts, &body);
     history.repeats(fingerprint.head);
-    let only_on = match entry.screen(now, &read.head.service, fingerprint) {
-        Ok(only_on) => only_on,
-        Err(refusal) => return entry.refuse(&refusal, &read.head.request),
+    let trial_host = match entry.screen(now, &parsed.head.service, fingerprint) {
+        Ok(trial_host) => trial_host,
+        Err(refusal) => return entry.refuse(&refusal, &parsed.head.request),
     };
-    let sent = Sent {
-        request: read,
+    let outgoing = Outgoing {
+        request: parsed,
         parts,
         source: Source::new(body, settings.replay_most),
-        only_on,
+        trial_host,
     };
-    forward(&entry, sent, history).await
+    forward(&entry, outgoing, history).await
 }
 
 impl Entry {
@@ -231,12 +233,12 @@
         }
     }
 
-    /// Refuses what cannot be read as a request of a known route, or of a named service.
+    /// Refuses a request that is malformed, or that names no known route or no service.
     fn refuse_malformed(
         &self,
         now: Instant,
         error: arrival::Malformed,
-        number: &str,
+        request_id: &str,
         parts: &Parts,
         routes_version: u64,
     ) -> Response<Body> {
@@ -244,7 +246,7 @@
         if self.log.admits(1) {
             let host = parts.headers.get(HOST);
             log::info!(
-                request = number,
+                request = request_id,
                 error:% = error,
                 host_asked = host.and_then(|host| host.to_str().ok()).unwrap_or(""),
                 path = parts.uri.path(),
@@ -253,13 +255,14 @@
             );
         }
         let retry_at = match error {
-            arrival::Malformed::ClosedRoute => now + NO_UPSTREAM_RETRY,
+            arrival::Malformed::ClosedRoute => now + NO_UPSTREAM_RETRY_DELAY,
             _ => now,
         };
-        self.refuse(&Refusal::not_run(error.reason(), retry_at), number)
+        self.refuse(&Refusal::not_run(error.reason(), retry_at), request_id)
     }
 
-    /// What repeats of a caller's request share; a body that is still to come is not waited for.
+    /// Returns the fingerprint that repeats of a caller's request share. It does not wait for
+    /// the body: one that has not arrived yet leaves the fingerprint without a body digest.
     fn fingerprint(&self, head: &Head, parts: &Parts, body: &Body) -> Fingerprint {
         let host = attempt::host(parts);
         let path = parts.uri.path_and_query();
@@ -270,8 +273,8 @@
         }
     }
 
-    /// Refuses a request that is held back, before it costs anybody more; the host that may try
-    /// it, if a trial is due.
+    /// Refuses a quarantined request before it uses any more resources. If a trial is due, returns
+    /// the only host that may run it.
     fn screen(
         &self,
         now: Instant,
@@ -290,15 +293,15 @@
         }
     }
 
-    /// Number of a request within the fleet: host, its start, and a count.
-    fn number(&self) -> Arc<str> {
+    /// Returns a request ID that is unique in the fleet: host, incarnation and a counter.
+    fn create_request_id(&self) -> Arc<str> {
         let count = self.next_number.fetch_add(1, Ordering::Relaxed);
         let host = self.context.host();
         let incarnation = self.context.incarnation;
         Arc::from(format!("{host}.{incarnation:x}.{count}"))
     }
 
-    /// Takes the members that offer something.
+    /// Updates candidates, peer addresses, links and retry budgets from a view of the members.
     fn apply_view(&self, view: &View) {
         let own_zone = &self.context.settings.availability_zone;
         let upstreams = candidates(view, own_zone);
@@ -308,7 +311,7 @@
             .map(|record| (Arc::clone(&record.host), record.peer_address))
             .collect();
         self.links
-            .keep(|address| addresses.values().any(|known| known == address));
+            .keep(|address| addresses.values().any(|peer| peer == address));
         *self.peers.lock() = addresses;
         self.placement.lock().update(Instant::now(), &upstreams);
         let share = view.in_force.preset.retry_share;
@@ -317,7 +320,7 @@
         }
     }
 
-    fn refuse(&self, refusal: &Refusal, number: &str) -> Response<Body> {
+    fn refuse(&self, refusal: &Refusal, request_id: &str) -> Response<Body> {
         self.context.metrics.refusal(refusal);
         let host = self.context.host();
         let fractions = self.context.settings.callers.retry_after_fractions;
@@ -326,15 +329,15 @@
         } else {
             Precision::Seconds
         };
-        problem::response(Instant::now(), refusal, host, number, precision)
+        problem::response(Instant::now(), refusal, host, request_id, precision)
     }
 
-    /// Shows operators what this entry knows of the upstreams.
+    /// Publishes the upstreams known to this entry, for operators.
     fn publish(&self) {
-        self.context.latest.seen.send_replace(self.seen());
+        self.context.latest.seen.send_replace(self.upstream_views());
     }
 
-    fn seen(&self) -> Vec<Seen> {
+    fn upstream_views(&self) -> Vec<Seen> {
         let placement = self.placement.lock();
         placement
             .candidates()
--- a/crates/node/src/entry/attempt.rs
+++ b/crates/node/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: the request goes to one host, and what comes back is told apart.
+//! One attempt: sends the request to one host and classifies the response.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -19,33 +19,33 @@
 use crate::replay::Source;
 use crate::{arrival, headers, link, traces};
 
-/// What all attempts of one request send.
-pub struct Sent {
-    /// The request as this node works on it.
+/// A request as all of its attempts send it.
+pub struct Outgoing {
+    /// The parsed request.
     pub request: arrival::Request,
-    /// Its head as the caller sent it.
+    /// Request head as the caller sent it.
     pub parts: Parts,
-    /// Its body.
+    /// Source of the request body, which each attempt replays.
     pub source: Source,
-    /// The one host that may try it, since it is held back everywhere else.
-    pub only_on: Option<Arc<str>>,
+    /// The only host that may run the request, as a trial; all others quarantine it.
+    pub trial_host: Option<Arc<str>>,
 }
 
 /// How one attempt ended.
 pub enum Attempt {
-    /// The upstream's answer has begun.
+    /// The head of the upstream's response has arrived.
     Answered(Response<Incoming>),
-    /// The request was given up on, here or by the node beside the upstream.
+    /// The attempt was refused by the node beside the upstream, or failed at this node.
     Refused {
         refusal: Refusal,
         progress: Progress,
-        /// Whether the request may hold its claim.
+        /// Whether the request may hold a claim on its idempotency key.
         claimed: bool,
     },
 }
 
 impl Attempt {
-    /// The word for logs.
+    /// Returns the outcome as it is written to the log.
     pub const fn outcome(&self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
@@ -54,17 +54,17 @@
     }
 }
 
-/// Sends the request to one host and waits for the head of its answer.
-pub async fn attempt(sent: &Sent, placed: &mut Placed) -> Attempt {
+/// Sends the request to one host and waits for the head of the response.
+pub async fn attempt(outgoing: &Outgoing, placed: &mut Placed) -> Attempt {
     let entry = Arc::clone(&placed.entry);
     let now = Instant::now();
-    let head = &sent.request.head;
+    let head = &outgoing.request.head;
     let address = entry.peers.lock().get(&placed.host).copied();
-    let gate = sent
+    let gate = outgoing
         .source
-        .may_exceed(deferred::AHEAD)
+        .may_exceed(deferred::INITIAL_BYTES)
         .then(|| Arc::new(Gate::default()));
-    let request = sent.source.replay().and_then(|body| {
+    let request = outgoing.source.replay().and_then(|body| {
         let body = match &gate {
             Some(gate) => Body::new(Deferred::new(body, Arc::clone(gate))),
             None => Body::new(body),
@@ -74,7 +74,7 @@
             report_to: Some(entry.context.addresses.peers),
             ..head.clone()
         };
-        build(&entry.context, now, &head, &sent.parts, body)
+        build(&entry.context, now, &head, &outgoing.parts, body)
     });
     let (Some(address), Some(request)) = (address, request) else {
         placed.ending = Ending::Avoid;
@@ -90,16 +90,17 @@
             None => pending().await,
         }
     };
-    let answered = tokio::select! {
+    let response = tokio::select! {
         biased;
-        answered = sending => answered,
+        response = sending => response,
         never = opening => match never {},
     };
     let now = Instant::now();
-    match answered {
+    match response {
         Ok(response) => {
-            let attempted = read_answer(&entry, now, placed, response);
-            // An upstream may answer before it has read the body, and read on.
+            let attempted = classify_response(&entry, now, placed, response);
+            // An upstream may respond before it has read the whole body, so the rest of the
+            // body is still sent.
             if let (Some(gate), Attempt::Answered(_)) = (&gate, &attempted) {
                 gate.open();
             }
@@ -114,7 +115,7 @@
             never_sent(now, Reason::Deadline)
         }
         Err(link::Error::Broken) => {
-            // Nobody waits for a new link beyond the time for an answer.
+            // The host is avoided only if no new link opens in the time left for an answer.
             let reconnecting = entry.links.can_connect(address);
             let reached = tokio::time::timeout_at(until.into(), reconnecting).await;
             if reached != Ok(true) {
@@ -152,14 +153,15 @@
     Some(request)
 }
 
-/// The host that the caller named, as it named it.
+/// Returns the value of the caller's `Host` header, or a placeholder if there is none.
 pub fn host(parts: &Parts) -> &str {
     let host = parts.headers.get(hyper::header::HOST);
     host.and_then(|host| host.to_str().ok())
         .unwrap_or("upstream")
 }
 
-/// HTTP/2 needs scheme and authority; the authority is the caller's `Host`.
+/// Builds the URI for the peer. HTTP/2 requires a scheme and an authority; the authority is the
+/// caller's `Host`.
 fn peer_uri(parts: &Parts) -> Option<Uri> {
     let host = host(parts);
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
@@ -171,8 +173,9 @@
         .ok()
 }
 
-/// Tells a refusal of the node beside the upstream from an answer.
-fn read_answer(
+/// Distinguishes a refusal of the node beside the upstream from the upstream's response, and
+/// records the load report that comes with either.
+fn classify_response(
     entry: &Entry,
     now: Instant,
     placed: &mut Placed,
--- a/crates/node/src/entry/deferred.rs
+++ b/crates/node/src/entry/deferred.rs
@@ -1,10 +1,10 @@
-//! A large body of which most is held back until its request has a slot beside the upstream.
+//! A large body that is mostly withheld until its request has a slot at the upstream.
 //!
-//! Failure: a body follows its request at once, or little by little. Symptom: all of it is carried
-//! between availability zones to each host that refuses the request; or, where the window is small
-//! against that, each further part waits for a trip, and on a busy machine a large upload misses
-//! its deadline with little done. Held back until there is a slot and sent at once after that, a
-//! body is carried once and takes a few trips.
+//! Failure: a body is sent immediately after its request, or in small parts. Symptom: the whole
+//! body crosses availability zones to every host that refuses the request; or, if the flow-control
+//! window is made small to prevent that, each part waits for a round trip, and on a busy machine a
+//! large upload misses its deadline with little transferred. Because the body is withheld until
+//! there is a slot and then sent at once, it is transferred only once and takes few round trips.
 
 use std::convert::Infallible;
 use std::future::pending;
@@ -24,8 +24,9 @@
 use crate::link;
 use crate::replay::Replay;
 
-/// Bytes that are sent at once: the node beside the upstream tells by them whose body it is.
-pub const AHEAD: usize = MAX_BODY_BYTES;
+/// Bytes sent before the gate opens: the node beside the upstream needs them for the request's
+/// fingerprint.
+pub const INITIAL_BYTES: usize = MAX_BODY_BYTES;
 
 /// Whether the rest of a body may be sent.
 #[derive(Default)]
@@ -35,7 +36,7 @@
 }
 
 impl Gate {
-    /// Lets the rest be sent.
+    /// Allows the rest of the body to be sent.
     pub fn open(&self) {
         self.open.store(true, Ordering::Release);
         self.waker.wake();
@@ -51,19 +52,19 @@
     }
 }
 
-/// A body that waits at its gate once [`AHEAD`] of it was sent.
+/// A body that waits for its gate after the first [`INITIAL_BYTES`] bytes.
 pub struct Deferred {
     body: Replay,
-    sent: usize,
+    sent_bytes: usize,
     gate: Arc<Gate>,
 }
 
 impl Deferred {
-    /// Holds back all but the beginning until the gate opens.
+    /// Withholds all but the first [`INITIAL_BYTES`] bytes of `body` until the gate opens.
     pub const fn new(body: Replay, gate: Arc<Gate>) -> Self {
         Self {
             body,
-            sent: 0,
+            sent_bytes: 0,
             gate,
         }
     }
@@ -77,12 +78,12 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
-        if self.sent >= AHEAD && self.gate.poll_open(cx).is_pending() {
+        if self.sent_bytes >= INITIAL_BYTES && self.gate.poll_open(cx).is_pending() {
             return Poll::Pending;
         }
         let polled = Pin::new(&mut self.body).poll_frame(cx);
         if let Poll::Ready(Some(Ok(frame))) = &polled {
-            self.sent += frame.data_ref().map_or(0, Bytes::len);
+            self.sent_bytes += frame.data_ref().map_or(0, Bytes::len);
         }
         polled
     }
@@ -96,22 +97,26 @@
     }
 }
 
-/// Asks the node beside the upstream to tell when the request has a slot, and opens the gate then.
+/// Opens the gate when the node beside the upstream reports that the request has a slot.
 ///
-/// Whatever goes wrong with the question opens it too: the request itself tells what went wrong
-/// with it, and a gate that stays closed would hold it up to its deadline. Never returns, so that
-/// the answer to the request ends the wait.
+/// An error while waiting for that report opens the gate too: the response to the request itself
+/// shows whether the request failed, and a gate that stays closed would block the request until its
+/// deadline. Never returns, so that only the response to the request ends the attempt.
 pub async fn open_with_slot(
     entry: &Entry,
     address: SocketAddr,
-    number: &str,
+    request_id: &str,
     until: Instant,
     gate: &Gate,
 ) -> Infallible {
-    if let Some(question) = link::slot_question(number) {
-        let told = entry.links.send(address, question, until).await;
-        if let Err(error) = told {
-            log::debug!(request = number, error:% = error; "not told of a slot");
+    if let Some(slot_request) = link::slot_question(request_id) {
+        let reply = entry.links.send(address, slot_request, until).await;
+        if let Err(error) = reply {
+            log::debug!(
+                request = request_id,
+                error:% = error;
+                "no notification of a slot; sending the rest of the body"
+            );
         }
     }
     gate.open();
--- a/crates/node/src/entry/forward.rs
+++ b/crates/node/src/entry/forward.rs
@@ -1,4 +1,4 @@
-//! All attempts of one request, one after the other.
+//! Forwards one request, with one attempt after another.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -12,40 +12,44 @@
 use mintridge_core::retry::{self, Progress};
 use mintridge_http::{Body, reply};
 
-use super::attempt::{Attempt, Sent, attempt};
+use super::attempt::{Attempt, Outgoing, attempt};
 use super::placed::Placed;
-use super::{Entry, NO_UPSTREAM_RETRY};
+use super::{Entry, NO_UPSTREAM_RETRY_DELAY};
 use crate::body::Held;
 use crate::claims::Job;
 use crate::headers;
 use crate::request_log::History;
 
-/// What is known of one request while it is being worked on.
+/// State of one request while it is forwarded.
 struct Forwarding {
-    sent: Sent,
+    outgoing: Outgoing,
     attempts: Attempts,
-    /// Whether the request may hold its claim.
+    /// Whether the request may hold a claim on its idempotency key.
     claimed: bool,
-    /// Why nothing is known of the last attempt that may have run.
+    /// Why the outcome is unknown, for the last attempt that may have run.
     may_have_run: Option<Reason>,
-    /// A failure that an upstream answered, told if no further attempt does better.
+    /// A failed response of an upstream, passed on if no further attempt gets a better one.
     failure: Option<(Response<Incoming>, Placed)>,
 }
 
-/// What one ended attempt means for the request.
+/// What to do after an attempt has ended.
 enum Verdict {
-    /// This answer goes to the caller.
+    /// Pass this response on to the caller.
     PassOn(Box<(Response<Incoming>, Placed)>),
-    /// Another host may be asked.
-    Again,
-    /// No further attempt may be begun.
+    /// Try another host.
+    Retry,
+    /// Refuse the request without another attempt.
     GiveUp(Refusal),
 }
 
-/// Tries hosts until one answers or no further attempt may be made.
-pub async fn forward(entry: &Arc<Entry>, sent: Sent, history: &mut History) -> Response<Body> {
+/// Tries hosts until one answers or no further attempt is allowed.
+pub async fn forward(
+    entry: &Arc<Entry>,
+    outgoing: Outgoing,
+    history: &mut History,
+) -> Response<Body> {
     let mut forwarding = Forwarding {
-        sent,
+        outgoing,
         attempts: Attempts::default(),
         claimed: false,
         may_have_run: None,
@@ -53,25 +57,25 @@
     };
     loop {
         let Some(mut placed) = entry.place(&mut forwarding) else {
-            let retry_at = Instant::now() + NO_UPSTREAM_RETRY;
-            let none = Refusal::not_run(Reason::NoUpstream, retry_at);
-            return entry.give_up(forwarding, none);
+            let retry_at = Instant::now() + NO_UPSTREAM_RETRY_DELAY;
+            let refusal = Refusal::not_run(Reason::NoUpstream, retry_at);
+            return entry.give_up(forwarding, refusal);
         };
-        let attempted = attempt(&forwarding.sent, &mut placed).await;
-        history.attempted(placed.attempt(attempted.outcome()));
+        let attempted = attempt(&forwarding.outgoing, &mut placed).await;
+        history.attempted(placed.log_record(attempted.outcome()));
         match entry.judge(&mut forwarding, attempted, placed) {
             Verdict::PassOn(answered) => {
                 let (response, placed) = *answered;
-                return entry.pass_on(response, placed, forwarding.sent);
+                return entry.pass_on(response, placed, forwarding.outgoing);
             }
             Verdict::GiveUp(refusal) => return entry.give_up(forwarding, refusal),
-            Verdict::Again => {}
+            Verdict::Retry => {}
         }
     }
 }
 
 impl Entry {
-    /// What an ended attempt means.
+    /// Decides what to do after an attempt has ended.
     fn judge(
         &self,
         forwarding: &mut Forwarding,
@@ -86,13 +90,13 @@
                     return Verdict::PassOn(Box::new((response, placed)));
                 }
                 placed.ending = Ending::Avoid;
-                let again = forwarding.sent.only_on.is_none()
+                let may_retry = forwarding.outgoing.trial_host.is_none()
                     && self.may_retry(forwarding, Progress::MayHaveRun);
-                if !again {
+                if !may_retry {
                     return Verdict::PassOn(Box::new((response, placed)));
                 }
                 forwarding.failure = Some((response, placed));
-                Verdict::Again
+                Verdict::Retry
             }
             Attempt::Refused {
                 refusal,
@@ -104,17 +108,17 @@
                 if may_have_run {
                     forwarding.may_have_run = Some(refusal.reason);
                 }
-                let again = if forwarding.sent.only_on.is_some() {
+                let may_retry = if forwarding.outgoing.trial_host.is_some() {
                     false
                 } else if refusal.never_reached_upstream() {
                     self.may_ask_another(forwarding, &refusal)
                 } else {
                     forwarding.attempts.record_handover();
-                    let elsewhere = may_have_run || refusal.reason.is_host_specific();
-                    elsewhere && self.may_retry(forwarding, progress)
+                    let may_run_elsewhere = may_have_run || refusal.reason.is_host_specific();
+                    may_run_elsewhere && self.may_retry(forwarding, progress)
                 };
-                if again {
-                    Verdict::Again
+                if may_retry {
+                    Verdict::Retry
                 } else {
                     Verdict::GiveUp(refusal)
                 }
@@ -122,22 +126,23 @@
         }
     }
 
-    /// Whether an upstream's answer says that it cannot serve this time.
+    /// Returns whether an upstream's response is a failure that may be retried on another host.
     ///
-    /// One that says when to come back was refused deeper down, or by its own choice: it is
-    /// passed on, so that a refusal at depth is not tried again at every level above.
+    /// A response with `Retry-After` is a refusal of a nested call, or a deliberate one of the
+    /// upstream. It is passed on, so that a refusal deep in a chain of calls is not retried at
+    /// every level above it.
     fn is_failure(&self, response: &Response<Incoming>) -> bool {
         let status = response.status().as_u16();
         let listed = self.context.live().retry.on_statuses.contains(&status);
         listed && !response.headers().contains_key(RETRY_AFTER)
     }
 
-    /// Chooses a host that was not tried yet, and counts the request there.
+    /// Chooses a host that has not been tried yet, and counts the request there.
     fn place(self: &Arc<Self>, forwarding: &mut Forwarding) -> Option<Placed> {
         let now = Instant::now();
-        let service = &forwarding.sent.request.head.service;
+        let service = &forwarding.outgoing.request.head.service;
         let mut placement = self.placement.lock();
-        let host = match &forwarding.sent.only_on {
+        let host = match &forwarding.outgoing.trial_host {
             Some(host) if placement.place_on(service, host) => Arc::clone(host),
             Some(_) => return None,
             None => placement.pick(now, service, forwarding.attempts.tried())?,
@@ -153,27 +158,30 @@
             ending: Ending::Abandoned,
             only_in_time,
             last_report,
-            begun_at: now,
+            started_at: now,
         })
     }
 
-    /// Whether another host may be asked for a request that no upstream has seen.
+    /// Returns whether another host may be asked after a refusal of a request that reached no
+    /// upstream.
     fn may_ask_another(&self, forwarding: &mut Forwarding, refusal: &Refusal) -> bool {
         let settings = &self.context.live().retry;
-        let head = &forwarding.sent.request.head;
-        let others = |tried: &[Arc<str>]| self.placement.lock().has_untried(&head.service, tried);
+        let head = &forwarding.outgoing.request.head;
+        let has_untried =
+            |tried: &[Arc<str>]| self.placement.lock().has_untried(&head.service, tried);
         let attempts = &mut forwarding.attempts;
         let now = Instant::now();
         let due = Due {
             target: head.target,
             deadline: head.deadline,
         };
-        attempts.record_refusal(settings, now, due, refusal, others)
+        attempts.record_refusal(settings, now, due, refusal, has_untried)
     }
 
-    /// Whether another host may be tried; an answer in hand is not given up for none.
+    /// Returns whether another host may be tried, and spends a token of the retry budget if so. It
+    /// requires an untried host, so that a failed response is kept if there is nowhere to retry.
     fn may_retry(&self, forwarding: &Forwarding, progress: Progress) -> bool {
-        let request = &forwarding.sent.request;
+        let request = &forwarding.outgoing.request;
         let service = &request.head.service;
         if !self
             .placement
@@ -201,40 +209,49 @@
         allowed
     }
 
-    fn with_budget<T>(&self, service: &Arc<str>, act: impl FnOnce(&mut retry::Budget) -> T) -> T {
+    fn with_budget<T>(
+        &self,
+        service: &Arc<str>,
+        operation: impl FnOnce(&mut retry::Budget) -> T,
+    ) -> T {
         let mut budgets = self.budgets.lock();
         let budget = budgets.entry(Arc::clone(service)).or_insert_with(|| {
             let share = self.context.in_force().preset.retry_share;
             retry::Budget::new(self.context.live().retry.clone(), share)
         });
-        act(budget)
+        operation(budget)
     }
 
-    /// Passes the upstream's answer on, as it comes.
-    fn pass_on(&self, response: Response<Incoming>, placed: Placed, sent: Sent) -> Response<Body> {
+    /// Passes the upstream's response on to the caller as it arrives.
+    fn pass_on(
+        &self,
+        response: Response<Incoming>,
+        placed: Placed,
+        outgoing: Outgoing,
+    ) -> Response<Body> {
         if placed.ending == Ending::Answered {
-            self.with_budget(&sent.request.head.service, retry::Budget::deposit);
+            self.with_budget(&outgoing.request.head.service, retry::Budget::deposit);
         }
         let (mut parts, body) = response.into_parts();
         headers::strip_hop_by_hop(&mut parts.headers);
         let idle = self.context.settings.callers.body_idle;
-        let body = Held::new(reply::from_incoming(body), (placed, sent.source), idle);
+        let body = Held::new(reply::from_incoming(body), (placed, outgoing.source), idle);
         Response::from_parts(parts, Body::new(body))
     }
 
-    /// Tells the caller of a refusal; a claim that was made for nothing is given back.
+    /// Responds to the caller with a refusal, or with an earlier failed response of an upstream.
     ///
-    /// Only a request that was certainly refused by every host it went to gives its
-    /// claim back: no host will hand it over any more.
+    /// The claim is released only if every host that was tried certainly refused the request, since
+    /// then no host will hand it over to an upstream any more.
     ///
-    /// Failure: a repeatable request runs on one host, breaks, and is refused by the
-    /// next. Symptom: its caller is told of the last refusal alone, "not run", which is
-    /// false. What any attempt may have done decides, and its reason is told.
+    /// Failure: a repeatable request runs on one host, its link breaks, and the next host refuses
+    /// it. Symptom: the caller gets only the last refusal, "not run", which is false. Therefore an
+    /// attempt that may have run determines the outcome and the reason of the refusal.
     fn give_up(&self, mut forwarding: Forwarding, refusal: Refusal) -> Response<Body> {
         if let Some((response, placed)) = forwarding.failure.take() {
-            return self.pass_on(response, placed, forwarding.sent);
+            return self.pass_on(response, placed, forwarding.outgoing);
         }
-        let head = &forwarding.sent.request.head;
+        let head = &forwarding.outgoing.request.head;
         let refusal = match forwarding.may_have_run {
             Some(reason) => Refusal::unknown(reason, refusal.retry_at),
             None => refusal,
--- a/crates/node/src/entry/placed.rs
+++ b/crates/node/src/entry/placed.rs
@@ -1,4 +1,4 @@
-//! A request placed on a host.
+//! A request that has been placed on a host.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,36 +9,36 @@
 use super::Entry;
 use crate::request_log;
 
-/// A request placed on a host; counted there until dropped.
+/// A request placed on a host; counted among the host's requests in flight until dropped.
 pub struct Placed {
-    /// The entry that placed it.
+    /// Entry that placed the request.
     pub entry: Arc<Entry>,
-    /// The service of the request.
+    /// Service that the request is for.
     pub service: Arc<str>,
-    /// The host.
+    /// Host that the request is placed on.
     pub host: Arc<str>,
-    /// How it ended; given up unless something else is known.
+    /// How the attempt ended; [`Ending::Abandoned`] until its end is known.
     pub ending: Ending,
-    /// Whether the host is to refuse it if it would miss its target there.
+    /// Whether the host must refuse the request if it would miss its target latency there.
     pub only_in_time: bool,
-    /// What was known of its upstream when it was chosen, and since when.
+    /// Load report by which the host was chosen, and when the report was received.
     pub last_report: (Report, Instant),
-    /// When the attempt was begun.
-    pub begun_at: Instant,
+    /// Start of the attempt.
+    pub started_at: Instant,
 }
 
 impl Placed {
-    /// What logs tell of the attempt.
-    pub fn attempt(&self, outcome: &'static str) -> request_log::Attempt {
+    /// Returns the attempt as the request log records it.
+    pub fn log_record(&self, outcome: &'static str) -> request_log::Attempt {
         let (report, reported_at) = self.last_report;
         request_log::Attempt {
             host: Arc::clone(&self.host),
             report,
-            report_age: self.begun_at.duration_since(reported_at),
+            report_age: self.started_at.duration_since(reported_at),
             only_in_time: self.only_in_time,
             outcome,
-            asked_at: self.begun_at,
-            took: self.begun_at.elapsed(),
+            asked_at: self.started_at,
+            took: self.started_at.elapsed(),
         }
     }
 }
