--- a/crates/node/tests/answers.rs
+++ b/crates/node/tests/answers.rs
@@ -1,4 +1,4 @@
-//! A caller gets the whole answer to its own request, or sees that it broke.
+//! A caller receives the complete response to its own request, or can see that it is incomplete.
 
 mod common;
 
@@ -69,8 +69,8 @@
     );
 }
 
-/// A host refuses a request with a body before it is handed over; the body goes whole
-/// to the next host.
+/// A host refuses a request with a body before it hands it over. Guards against a retry on the next
+/// host with a truncated body.
 #[tokio::test]
 async fn request_body_is_whole_at_the_second_host() {
     let scene = processes(hosts(2)).await;
@@ -82,26 +82,27 @@
             body: Bytes::from(content.clone()),
             ..post(&format!("id-{n}"), &format!("key-{n}"))
         };
-        let told = scene.call(0, &call).await;
-        let Told::Answer { body, .. } = &told else {
-            panic!("{told:?}");
+        let reply = scene.call(0, &call).await;
+        let Told::Answer { body, .. } = &reply else {
+            panic!("{reply:?}");
         };
         let answer = Answer::parse(body).expect("an answer of the stand-in");
         assert_eq!(answer.body_digest, digest);
     }
 }
 
-/// The upstream breaks its answer off half way: the caller sees it broken, never a short
-/// answer that looks whole.
+/// The upstream aborts its response halfway. Guards against a truncated response that looks
+/// complete to the caller.
 #[tokio::test]
 async fn broken_answer_is_seen_broken() {
     let scene = processes(hosts(1)).await;
     scene.behave(0, |behaviour| behaviour.manner = Manner::BreakAnswers);
-    let told = scene.call(0, &bytes(1_000_000)).await;
-    assert_eq!(told, Told::Broken { begun: true });
+    let reply = scene.call(0, &bytes(1_000_000)).await;
+    assert_eq!(reply, Told::Broken { begun: true });
 }
 
-/// The guarding node is killed while an answer passes: the caller sees it broken.
+/// The node beside the upstream is killed while it forwards a response. Guards against a truncated
+/// response that looks complete to the caller.
 #[tokio::test]
 async fn answer_cut_by_a_killed_guard_is_seen_broken() {
     let mut scene = processes_and_entry(1).await;
@@ -115,11 +116,11 @@
     .await;
     tokio::time::sleep(Duration::from_millis(50)).await;
     scene.kill(0).await;
-    let told = reading.await.expect("the caller lives");
-    assert!(is_broken(&told), "{told:?}");
+    let reply = reading.await.expect("the caller lives");
+    assert!(is_broken(&reply), "{reply:?}");
 }
 
-/// What a deeper call needs is passed on: on whose behalf, and how much time is left.
+/// An upstream receives what a nested call needs: the client account and the time left.
 #[tokio::test]
 async fn client_account_and_time_left_reach_the_upstream() {
     let scene = threads(hosts(1)).await;
@@ -136,11 +137,12 @@
     assert!(left > 0 && left <= 3_000, "{left}");
 }
 
-/// Under load with every request different, each answer is that of its own request.
+/// Guards against a response that reaches the wrong caller under load. Every request is different.
 ///
-/// Upstreams, store and callers share one thread here. When the machine takes it away for half
-/// a second, all that is due comes at once, and with the usual queue some is refused, truthfully.
-/// The queue and the store's timeout outlast that, so that every request must succeed.
+/// Upstreams, store and callers share one thread here. When the machine does not schedule it for
+/// half a second, all due requests are sent at once, and with the default queue some are rightly
+/// refused. The queue and the store's timeout are large enough for that, so every request must
+/// succeed.
 #[tokio::test]
 async fn answers_are_never_mixed_up() {
     let scene = processes(Plan {
@@ -157,7 +159,7 @@
     account.all_succeeded();
 }
 
-/// The caller hangs up: the upstream's work is cancelled and its slot is free again.
+/// The caller disconnects. Guards against work that goes on at the upstream and keeps its slot.
 #[tokio::test]
 async fn hang_up_cancels_the_work() {
     let scene = processes(hosts(1)).await;
@@ -177,52 +179,53 @@
         .await;
 }
 
-/// Every caller is answered by its deadline plus a small grace, whatever is frozen.
+/// Every caller is answered by its deadline plus a small grace, even if the upstream does not
+/// respond or the node beside it is paused.
 #[rstest]
 #[case::upstream_silent(false)]
-#[case::guard_frozen(true)]
+#[case::guard_paused(true)]
 #[tokio::test]
-async fn deadline_is_kept(#[case] frozen: bool) {
+async fn deadline_is_kept(#[case] guard_paused: bool) {
     let scene = processes_and_entry(1).await;
     scene.behave(0, |behaviour| behaviour.manner = Manner::Silent);
-    if frozen {
-        scene.process(0).signal(Signal::STOP).expect("frozen");
+    if guard_paused {
+        scene.process(0).signal(Signal::STOP).expect("paused");
     }
     let call = within(700, post("late", "key"));
-    let began = Instant::now();
-    let told = scene.call(1, &call).await;
-    // The grace is 25 ms; the rest is room for a busy machine.
+    let started_at = Instant::now();
+    let reply = scene.call(1, &call).await;
+    // The grace is 25 ms; the rest is a margin for a busy machine.
     assert!(
-        began.elapsed() < Duration::from_secs(4),
+        started_at.elapsed() < Duration::from_secs(4),
         "{:?}",
-        began.elapsed()
+        started_at.elapsed()
     );
-    assert!(told.is_unknown() || told.is_not_run(), "{told:?}");
-    if frozen {
-        scene.process(0).signal(Signal::CONT).expect("woken");
+    assert!(reply.is_unknown() || reply.is_not_run(), "{reply:?}");
+    if guard_paused {
+        scene.process(0).signal(Signal::CONT).expect("resumed");
     }
 }
 
-/// A request that is given up on is answered at once, not near its deadline.
+/// Guards against a refusal that is sent only near the deadline though no upstream can be reached.
 #[tokio::test]
-async fn given_up_is_answered_at_once() {
+async fn refusal_does_not_wait_for_the_deadline() {
     let scene = processes(hosts(1)).await;
     scene.end_upstream(0);
-    let began = Instant::now();
-    let told = scene.call(0, &within(60_000, get("refused"))).await;
+    let started_at = Instant::now();
+    let reply = scene.call(0, &within(60_000, get("refused"))).await;
     assert!(
-        began.elapsed() < Duration::from_secs(10),
+        started_at.elapsed() < Duration::from_secs(10),
         "{:?}",
-        began.elapsed()
+        started_at.elapsed()
     );
-    let Told::Refused { retry_after, .. } = told else {
-        panic!("{told:?}");
+    let Told::Refused { retry_after, .. } = reply else {
+        panic!("{reply:?}");
     };
     assert!(retry_after.is_some());
 }
 
-/// The link to the guarding node falls silent for good while new connections work. An
-/// idle link is found out before a request is risked on it, so the caller sees nothing.
+/// The link to the node beside the upstream stalls permanently while new connections work. An idle
+/// link is checked before a request is sent on it, so the caller's request succeeds.
 #[tokio::test]
 async fn silent_idle_link_is_replaced_unnoticed() {
     let (scene, relay) = relayed().await;
@@ -234,17 +237,17 @@
     );
     relay.lose_open_connections();
     tokio::time::sleep(Duration::from_millis(1_300)).await;
-    let told = scene.call(ENTRY, &post("after", "key-2")).await;
-    assert!(told.is_success(), "{told:?}");
+    let reply = scene.call(ENTRY, &post("after", "key-2")).await;
+    assert!(reply.is_success(), "{reply:?}");
     assert_eq!(
         scene.hosts[BEHIND].upstream.account().runs.get("after"),
         Some(&1)
     );
 }
 
-/// The link falls silent while a request is on it. The unrepeatable request ends as
-/// unknown, long before its deadline; the host is not blamed, and the next request on
-/// a new connection is served.
+/// The link stalls while a request is in flight on it. The unrepeatable request ends with an
+/// unknown outcome long before its deadline. The host is not marked as failed, so the next request
+/// is served on a new connection.
 #[tokio::test]
 async fn link_silent_under_a_request_ends_as_unknown() {
     let (scene, relay) = relayed().await;
@@ -255,30 +258,34 @@
     let first = tokio::spawn(async move { caller.call(entry, &call).await });
     wait_for("it runs", || scene.runs("first") == 1).await;
     relay.lose_open_connections();
-    let heard = first.await.expect("the caller lives");
+    let timed_reply = first.await.expect("the caller lives");
     assert!(
         matches!(
-            heard.told,
+            timed_reply.told,
             Told::Refused {
                 reason: Reason::LinkLost,
                 ..
             }
-        ) && heard.told.is_unknown(),
+        ) && timed_reply.told.is_unknown(),
         "{:?}",
-        heard.told
+        timed_reply.told
+    );
+    assert!(
+        timed_reply.took < Duration::from_secs(15),
+        "{:?}",
+        timed_reply.took
     );
-    assert!(heard.took < Duration::from_secs(15), "{:?}", heard.took);
     assert!(scene.call(ENTRY, &get("second")).await.is_success());
 }
 
-/// The link is cut and comes back: requests meanwhile are refused truthfully, and served
-/// after, without a restart.
+/// The link is cut and later restored. Requests are refused as not run in the meantime, and served
+/// afterwards without a restart.
 #[tokio::test]
 async fn cut_link_is_not_run_and_heals() {
     let (scene, relay) = relayed().await;
     relay.set(Condition::Cut);
-    let told = scene.call(ENTRY, &post("cut", "key")).await;
-    assert!(told.is_not_run(), "{told:?}");
+    let reply = scene.call(ENTRY, &post("cut", "key")).await;
+    assert!(reply.is_not_run(), "{reply:?}");
     assert_eq!(scene.runs("cut"), 0);
     relay.set(Condition::Normal);
     loop {
@@ -290,7 +297,7 @@
 }
 
 #[tokio::test]
-async fn head_and_options_pass() {
+async fn options_put_and_delete_pass() {
     let scene = threads(hosts(1)).await;
     for method in [Method::OPTIONS, Method::PUT, Method::DELETE] {
         let call = Call {
@@ -301,9 +308,10 @@
     }
 }
 
-/// Guards against a reason that says nothing ran beside an outcome that says something may have.
+/// One attempt loses its link and the next is refused before it runs. Guards against a refusal
+/// whose outcome is unknown but whose reason is that of the second attempt.
 #[tokio::test]
-async fn refusal_after_a_lost_link_tells_of_the_lost_link() {
+async fn refusal_after_a_lost_link_has_its_reason() {
     let mut scene = processes_and_entry(2).await;
     for index in 0..2 {
         scene.behave(index, |behaviour| behaviour.manner = Manner::Silent);
@@ -311,7 +319,7 @@
     let entry = scene.addresses(2).callers;
     let caller = scene.caller.clone();
     let call = within(20_000, get("lost"));
-    let asking = tokio::spawn(async move { caller.call(entry, &call).await.told });
+    let calling = tokio::spawn(async move { caller.call(entry, &call).await.told });
     wait_for("the request runs", || scene.runs("lost") == 1).await;
     let has_run = |index: usize| {
         scene.hosts[index]
@@ -323,51 +331,52 @@
     let (runs_on, other) = if has_run(0) { (0, 1) } else { (1, 0) };
     scene.end_upstream(other);
     scene.kill(runs_on).await;
-    let told = asking.await.expect("the caller lives");
+    let reply = calling.await.expect("the caller lives");
     assert!(
         matches!(
-            told,
+            reply,
             Told::Refused {
                 outcome: Outcome::Unknown,
                 reason: Reason::LinkLost,
                 ..
             }
         ),
-        "{told:?}"
+        "{reply:?}"
     );
 }
 
-/// Longer than a frozen node's callers may take for a header section.
-const FROZEN: Duration = Duration::from_millis(900);
+/// How long a node is paused; longer than callers may take to send a header section.
+const PAUSE_DURATION: Duration = Duration::from_millis(900);
 
-fn short_header_time(settings: &mut Settings) {
+fn short_header_timeout(settings: &mut Settings) {
     settings.callers.header_within = Duration::from_millis(500);
 }
 
-/// Guards against a request that waits in its connection while the node is frozen and ends without a word.
+/// A request arrives on an idle connection while the node is paused. Guards against a connection
+/// that is closed without a response because the time for the header section has passed.
 #[tokio::test]
-async fn frozen_node_answers_what_arrived_meanwhile() {
+async fn paused_node_answers_what_arrived_meanwhile() {
     let scene = processes(Plan {
-        adjust: short_header_time,
+        adjust: short_header_timeout,
         ..hosts(1)
     })
     .await;
-    for play in 0..5 {
+    for round in 0..5 {
         let entry = scene.addresses(0).callers;
         let mut idle = TcpStream::connect(entry).await.expect("connected");
         tokio::time::sleep(Duration::from_millis(100)).await;
-        scene.process(0).signal(Signal::STOP).expect("frozen");
+        scene.process(0).signal(Signal::STOP).expect("paused");
         let head = "GET / HTTP/1.1\r\nhost: a\r\nmintridge-service: service\r\n\
                     mintridge-client-account: a\r\nmintridge-timeout-ms: 5000\r\n\
                     connection: close\r\n\r\n";
         idle.write_all(head.as_bytes()).await.expect("sent");
-        tokio::time::sleep(FROZEN).await;
-        scene.process(0).signal(Signal::CONT).expect("woken");
+        tokio::time::sleep(PAUSE_DURATION).await;
+        scene.process(0).signal(Signal::CONT).expect("resumed");
         let mut answer = String::new();
         let read = idle.read_to_string(&mut answer).await;
         assert!(
             answer.starts_with("HTTP/1.1 "),
-            "play {play}: {read:?} {answer:?}"
+            "round {round}: {read:?} {answer:?}"
         );
     }
 }
--- a/crates/node/tests/at_most_once.rs
+++ b/crates/node/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! An unrepeatable request runs at most once, and "not run" is true.
+//! An unrepeatable request runs at most once, and a refusal as "not run" is true.
 
 mod common;
 
@@ -14,18 +14,18 @@
 use rstest::rstest;
 use rustix::process::Signal;
 
-/// The caller gets its answer, loses it, and asks again through another node with the
-/// same key: it is told that the request may have run, and nothing runs again.
+/// The caller loses the answer to its request and repeats it with the same key through another
+/// node. The repeat must not run; it is refused with an unknown outcome.
 #[tokio::test]
 async fn repeat_after_answer_is_refused_as_unknown() {
     let scene = processes(hosts(3)).await;
     assert!(scene.call(0, &post("first", "key")).await.is_success());
-    let told = scene.call(1, &post("second", "key")).await;
-    assert!(told.is_unknown(), "{told:?}");
+    let reply = scene.call(1, &post("second", "key")).await;
+    assert!(reply.is_unknown(), "{reply:?}");
     assert_eq!(runs(&scene, &["first", "second"]), 1);
 }
 
-/// The same key comes through all nodes at the same moment: one runs.
+/// Requests with the same key arrive at all nodes at the same moment; only one may run.
 #[tokio::test]
 async fn repeat_at_the_same_moment_runs_once() {
     let scene = processes(hosts(3)).await;
@@ -38,16 +38,16 @@
             scene.call(1, &calls[1]),
             scene.call(2, &calls[2])
         );
-        let successes = [a, b, c].iter().filter(|told| told.is_success()).count();
+        let successes = [a, b, c].iter().filter(|reply| reply.is_success()).count();
         assert_eq!(successes, 1);
         let ran: u32 = ids.iter().map(|id| scene.runs(id)).sum();
         assert_eq!(ran, 1);
     }
 }
 
-/// The node beside the upstream is killed while the request runs. The caller is told
-/// that it may have run; a repeat through another node, with the killed one replaced by
-/// an empty one, is told the same.
+/// The node beside the upstream is killed while the request runs, and replaced by one without
+/// state. The request and its repeat through another node are both refused with an unknown outcome,
+/// and the repeat does not run.
 #[tokio::test]
 async fn repeat_after_guard_is_killed_runs_once() {
     let mut scene = processes_and_entry(1).await;
@@ -57,18 +57,18 @@
     let first = tokio::spawn(async move { caller.call(entry, &post("first", "key")).await.told });
     wait_for("the request runs", || scene.runs("first") == 1).await;
     scene.kill(0).await;
-    let told = first.await.expect("the caller lives");
-    assert!(told.is_unknown(), "{told:?}");
+    let reply = first.await.expect("the caller lives");
+    assert!(reply.is_unknown(), "{reply:?}");
     scene.behave(0, |behaviour| behaviour.manner = Manner::Serve);
     scene.start_node(0).expect("starts");
     scene.until_joined().await;
-    let told = until_taken(&scene, 1, "second", "key").await;
-    assert!(told.is_unknown(), "{told:?}");
+    let reply = retry_while_not_run(&scene, 1, "second", "key").await;
+    assert!(reply.is_unknown(), "{reply:?}");
     assert_eq!(runs(&scene, &["first", "second"]), 1);
 }
 
-/// The node beside the upstream is killed while the request runs, and another host
-/// offers the same service: the entry does not send an unrepeatable request there.
+/// The node beside the upstream is killed while the request runs, and another host offers the same
+/// service. The entry must not retry an unrepeatable request there.
 #[rstest]
 #[case::with_a_key(post("first", "key"))]
 #[case::without_a_key(bare_post("first"))]
@@ -83,29 +83,30 @@
     let runs_on = |index: usize| scene.hosts[index].upstream.account().requests > 0;
     let killed = usize::from(!runs_on(0));
     scene.kill(killed).await;
-    let told = first.await.expect("the caller lives");
-    assert!(told.is_unknown(), "{told:?}");
+    let reply = first.await.expect("the caller lives");
+    assert!(reply.is_unknown(), "{reply:?}");
     assert_eq!(scene.runs("first"), 1);
 }
 
-/// Asks until the refusal is about the key and not about a fleet still finding itself.
-async fn until_taken(
+/// Repeats the request until it is no longer refused as not run, which it is while the nodes are
+/// still discovering each other.
+async fn retry_while_not_run(
     scene: &mintridge_standin::scene::Scene,
     index: usize,
     id: &str,
     key: &str,
 ) -> Told {
     loop {
-        let told = scene.call(index, &post(id, key)).await;
-        if !told.is_not_run() {
-            return told;
+        let reply = scene.call(index, &post(id, key)).await;
+        if !reply.is_not_run() {
+            return reply;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// The node the caller spoke to is killed while its request runs; the caller's connection
-/// breaks, and its repeat through another node does not run.
+/// The entry node is killed while the request runs. The caller's connection breaks, and its repeat
+/// through another node must not run.
 #[tokio::test]
 async fn repeat_after_entry_is_killed_runs_once() {
     let mut scene = processes(hosts(3)).await;
@@ -118,16 +119,16 @@
     wait_for("the request runs", || scene.runs("first") == 1).await;
     scene.kill(0).await;
     assert!(matches!(first.await, Ok(Told::Broken { .. })));
-    let told = scene.call(1, &post("second", "key")).await;
-    assert!(told.is_unknown(), "{told:?}");
+    let reply = scene.call(1, &post("second", "key")).await;
+    assert!(reply.is_unknown(), "{reply:?}");
     assert_eq!(runs(&scene, &["first", "second"]), 1);
 }
 
-/// The node beside the upstream is frozen while it waits for the store, past the
-/// caller's deadline, and then woken. The caller is told by its deadline; whatever it was
-/// told holds after the wake, and a repeat with the same key never makes two runs.
+/// The node beside the upstream is paused while it waits for the store, and resumed after the
+/// caller's deadline. The caller is answered by its deadline, that answer stays true after the node
+/// has resumed, and with a repeat under the same key there is at most one run.
 #[tokio::test]
-async fn guard_frozen_before_hand_over_runs_nothing_late() {
+async fn guard_paused_before_hand_over_runs_nothing_late() {
     let scene = processes_and_entry(1).await;
     scene.store.set_faults(Faults {
         slow_millis: 300,
@@ -138,40 +139,44 @@
     let call = within(1_000, post("first", "key"));
     let first = tokio::spawn(async move { caller.call(entry, &call).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
-    scene.process(0).signal(Signal::STOP).expect("frozen");
-    let heard = first.await.expect("the caller lives");
-    assert!(heard.told.is_unknown(), "{:?}", heard.told);
-    assert!(heard.took < Duration::from_secs(4), "{:?}", heard.took);
+    scene.process(0).signal(Signal::STOP).expect("paused");
+    let timed_reply = first.await.expect("the caller lives");
+    assert!(timed_reply.told.is_unknown(), "{:?}", timed_reply.told);
+    assert!(
+        timed_reply.took < Duration::from_secs(4),
+        "{:?}",
+        timed_reply.took
+    );
     scene.store.set_faults(Faults::default());
-    scene.process(0).signal(Signal::CONT).expect("woken");
-    let told = until_taken(&scene, 1, "second", "key").await;
+    scene.process(0).signal(Signal::CONT).expect("resumed");
+    let reply = retry_while_not_run(&scene, 1, "second", "key").await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert_eq!(
         scene.runs("first"),
         0,
-        "its deadline had passed before the wake"
+        "its deadline had passed before the node resumed"
     );
-    assert!(runs(&scene, &["first", "second"]) <= 1, "{told:?}");
+    assert!(runs(&scene, &["first", "second"]) <= 1, "{reply:?}");
 }
 
-/// The store is out: a request with a key is refused at once, truthfully as not run, and
-/// is told when to come back; when the store is back it runs.
+/// The store is unavailable. A request with a key is refused at once as not run, with a retry
+/// delay, and runs when the store is available again. Requests without a key are served meanwhile.
 #[tokio::test]
-async fn store_out_refuses_keyed_requests_as_not_run() {
+async fn store_outage_refuses_keyed_requests_as_not_run() {
     let scene = processes(hosts(3)).await;
     scene.store.set_faults(Faults {
         down: true,
         ..Faults::default()
     });
-    let told = scene.call(0, &post("first", "key")).await;
+    let reply = scene.call(0, &post("first", "key")).await;
     let Told::Refused {
         outcome,
         reason,
         retry_after,
         ..
-    } = told
+    } = reply
     else {
-        panic!("{told:?}");
+        panic!("{reply:?}");
     };
     assert_eq!(
         (outcome, reason),
@@ -186,8 +191,8 @@
     assert_eq!(scene.runs("first"), 1);
 }
 
-/// The claim takes effect in the store, and the reply is lost or says that the store is
-/// not available: the owner read back settles it, and the request runs once.
+/// The claim takes effect in the store, but the reply is lost or says that the store is not
+/// available. The node reads the owner of the key back, and the request runs once.
 #[rstest]
 #[case::lost(Faults { lose_replies: 1, ..Faults::default() })]
 #[case::denied(Faults { deny_writes: 1, ..Faults::default() })]
@@ -195,51 +200,58 @@
 async fn store_reply_lost_runs_once(#[case] faults: Faults) {
     let scene = processes(hosts(3)).await;
     scene.store.set_faults(faults);
-    let told = scene.call(0, &post("first", "key")).await;
-    assert!(told.is_success(), "{told:?}");
-    let told = scene.call(1, &post("second", "key")).await;
-    assert!(told.is_unknown(), "{told:?}");
+    let reply = scene.call(0, &post("first", "key")).await;
+    assert!(reply.is_success(), "{reply:?}");
+    let reply = scene.call(1, &post("second", "key")).await;
+    assert!(reply.is_unknown(), "{reply:?}");
     assert_eq!(runs(&scene, &["first", "second"]), 1);
 }
 
-/// The claim takes effect only after the node gave up on it. The caller was told not run,
-/// which stays true; its repeat runs at most once.
+/// The claim takes effect only after the node has abandoned it. The request was refused as not run,
+/// which must stay true, and its repeat runs at most once.
 #[tokio::test]
 async fn store_write_applied_late_runs_nothing_twice() {
     let scene = processes(hosts(3)).await;
-    // The fault takes the next write, whichever it is: no entry of a node may come before the
-    // claim. Each host is the only one of its zone, so that each node writes one.
-    wait_for("all entries are there", || scene.store.count(SEEDS) == 3).await;
+    // The fault hits the next write of any kind, so the nodes must have written their seed entries
+    // before the claim. Each host is the only one in its zone, so each node writes one.
+    wait_for("all seed entries are written", || {
+        scene.store.count(SEEDS) == 3
+    })
+    .await;
     scene.store.set_faults(Faults {
         late_writes: 1,
         late_millis: 1_500,
         ..Faults::default()
     });
-    let told = scene.call(0, &post("first", "key")).await;
-    assert!(told.is_not_run(), "{told:?}");
+    let reply = scene.call(0, &post("first", "key")).await;
+    assert!(reply.is_not_run(), "{reply:?}");
     tokio::time::sleep(Duration::from_secs(2)).await;
     scene.call(1, &post("second", "key")).await;
     assert_eq!(scene.runs("first"), 0);
     assert!(scene.runs("second") <= 1);
 }
 
-/// The upstream runs the request and never answers: the caller is told unknown at its
-/// deadline, and the request is not tried on another host.
+/// The upstream runs the request and never answers. The request is refused with an unknown outcome
+/// at its deadline, and is not retried on another host.
 #[tokio::test]
-async fn silent_upstream_is_not_tried_again() {
+async fn silent_upstream_is_not_retried() {
     let scene = processes(hosts(3)).await;
     common::all_behave(&scene, Manner::Silent);
     for call in [post("keyed", "key"), bare_post("keyless")] {
         let call = within(500, call);
-        let heard = scene.caller.call(scene.addresses(0).callers, &call).await;
-        assert!(heard.told.is_unknown(), "{:?}", heard.told);
-        assert!(heard.took < Duration::from_secs(3), "{:?}", heard.took);
+        let timed_reply = scene.caller.call(scene.addresses(0).callers, &call).await;
+        assert!(timed_reply.told.is_unknown(), "{:?}", timed_reply.told);
+        assert!(
+            timed_reply.took < Duration::from_secs(3),
+            "{:?}",
+            timed_reply.took
+        );
         assert_eq!(scene.runs(&call.id), 1);
     }
 }
 
-/// Ends the upstream of the first host, and waits until its listener is closed: before that a
-/// connection is accepted and reset, and a request on it may have run for all that the node can know.
+/// Ends the upstream of the first host and waits until its listener is closed. Before that a
+/// connection is accepted and reset, and the node cannot know whether a request on it has run.
 async fn end_first_upstream(scene: &Scene) {
     let address = scene.hosts[0].upstream_address;
     scene.end_upstream(0);
@@ -247,29 +259,29 @@
     wait_for("connections are refused", refused).await;
 }
 
-/// The upstream does not accept connections: that is not run, and another host takes
-/// the request under the claim it already has.
+/// The upstream refuses connections, so the request has not run, and another host runs it under the
+/// claim that the request already holds.
 #[tokio::test]
-async fn unreachable_upstream_is_left_for_another() {
+async fn unreachable_upstream_fails_over_to_another_host() {
     let scene = processes(hosts(2)).await;
     end_first_upstream(&scene).await;
     for round in 0..6 {
         let id = format!("id-{round}");
-        let told = scene.call(0, &post(&id, &id)).await;
-        assert!(told.is_success(), "{told:?}");
+        let reply = scene.call(0, &post(&id, &id)).await;
+        assert!(reply.is_success(), "{reply:?}");
         assert_eq!(scene.runs(&id), 1);
     }
 }
 
-/// Every upstream refuses connections: not run, and the claim is given back, so that the
-/// caller's repeat runs when they are back.
+/// Every upstream refuses connections. The request is refused as not run and its claim is released,
+/// so that the caller's repeat runs when an upstream is available again.
 #[tokio::test]
-async fn refused_everywhere_gives_the_claim_back() {
+async fn refused_everywhere_releases_the_claim() {
     let scene = processes(hosts(1)).await;
     end_first_upstream(&scene).await;
-    let told = scene.call(0, &post("first", "key")).await;
-    assert!(told.is_not_run(), "{told:?}");
-    wait_for("the claim is given back", || scene.store.count(CLAIMS) == 0).await;
+    let reply = scene.call(0, &post("first", "key")).await;
+    assert!(reply.is_not_run(), "{reply:?}");
+    wait_for("the claim is released", || scene.store.count(CLAIMS) == 0).await;
     let listener = tokio::net::TcpListener::bind(scene.hosts[0].upstream_address)
         .await
         .expect("binds again");
@@ -280,14 +292,14 @@
         upstream,
         phase.subscribe(),
     ));
-    let told = until_taken(&scene, 0, "second", "key").await;
-    assert!(told.is_success(), "{told:?}");
+    let reply = retry_while_not_run(&scene, 0, "second", "key").await;
+    assert!(reply.is_success(), "{reply:?}");
     assert_eq!(runs(&scene, &["first", "second"]), 1);
 }
 
-/// A repeatable request runs on a first host, which fails it, and is tried on a second,
-/// which refuses it before it runs, or there is none left. The caller is told the
-/// upstream's own answer or that it may have run; never that it did not.
+/// A repeatable request runs and fails on a first host; the second refuses it before it runs, or
+/// there is none. Guards against a refusal as "not run", which would be false: the caller gets the
+/// upstream's own response or an unknown outcome.
 #[rstest]
 #[case::second_refuses(true)]
 #[case::none_left(false)]
@@ -301,9 +313,12 @@
     let mut ran = 0;
     for n in 0..12 {
         let id = format!("id-{n}");
-        let told = scene.call(0, &common::get(&id)).await;
+        let reply = scene.call(0, &common::get(&id)).await;
         ran += scene.runs(&id);
-        assert!(!told.is_not_run() || scene.runs(&id) == 0, "{id}: {told:?}");
+        assert!(
+            !reply.is_not_run() || scene.runs(&id) == 0,
+            "{id}: {reply:?}"
+        );
     }
     assert!(ran > 0, "some ran");
 }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The one helper of these tests: scenes, calls, and load with an account.
+//! Helpers shared by the tests of this crate: scenes, calls, and load whose replies are checked.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, HashMap};
@@ -20,19 +20,19 @@
 use mintridge_standin::upstream::{Manner, Result as Answer};
 use socket2::{Domain, Socket, Type};
 
-/// A scene with each node as threads of this process.
+/// Starts a scene in which the nodes run as threads of this process.
 pub async fn threads(plan: Plan) -> Scene {
     Scene::start(plan).await.expect("the scene starts")
 }
 
-/// A scene with each node as a process of its own.
+/// Starts a scene in which each node is a separate process.
 pub async fn processes(plan: Plan) -> Scene {
     let binary = Some(PathBuf::from(env!("CARGO_BIN_EXE_mintridge-node")));
     threads(Plan { binary, ..plan }).await
 }
 
-/// A scene of processes with this many hosts of one service, and after them one more
-/// host of another service, whose node is an entry apart from them all.
+/// Starts a scene of processes with `count` hosts of one service, followed by a host of another
+/// service whose node is used as a separate entry.
 pub async fn processes_and_entry(count: usize) -> Scene {
     let mut scene = processes(hosts(count)).await;
     add_entry(&mut scene).await;
@@ -40,7 +40,7 @@
     scene
 }
 
-/// Adds a host of another service.
+/// Adds a host of another service, whose node is used as a separate entry.
 pub async fn add_entry(scene: &mut Scene) {
     let added = scene
         .add("entry-1", "other", "zone-b", <_>::default())
@@ -48,7 +48,7 @@
     added.expect("it starts");
 }
 
-/// A scene with this many hosts of one service.
+/// Returns the plan of a scene with `count` hosts of one service.
 pub fn hosts(count: usize) -> Plan {
     Plan {
         services: vec![("service", count)],
@@ -56,7 +56,7 @@
     }
 }
 
-/// A server in place of an upstream: each connection is answered on a thread of its own.
+/// Starts a server in place of an upstream; `answer` handles each connection on its own thread.
 pub fn answering(answer: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -70,7 +70,8 @@
     address
 }
 
-/// A listener that takes no further connection, and the connections that fill its queue.
+/// Returns a listener that accepts no further connections, and the connections that fill its
+/// backlog.
 pub fn full() -> (SocketAddr, TcpListener, Vec<TcpStream>) {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any: SocketAddr = ([127, 0, 0, 1], 0).into();
@@ -78,13 +79,13 @@
     listener.listen(0).expect("it listens");
     let listener = TcpListener::from(listener);
     let address = listener.local_addr().expect("an address");
-    let within = Duration::from_millis(100);
-    let waiting = (0..4).map_while(|_| TcpStream::connect_timeout(&address, within).ok());
+    let timeout = Duration::from_millis(100);
+    let waiting = (0..4).map_while(|_| TcpStream::connect_timeout(&address, timeout).ok());
     let waiting = waiting.collect();
     (address, listener, waiting)
 }
 
-/// A route to the service, by the beginning of the path.
+/// Returns a route to the service for paths with this prefix.
 pub fn route(prefix: &str) -> Route {
     Route {
         name: Arc::from(prefix),
@@ -101,10 +102,10 @@
     }
 }
 
-/// Key of the routing table.
+/// Store key of the routing table.
 pub const ROUTES: &str = "operators/routes";
 
-/// A table with these routes.
+/// Returns a routing table with these routes.
 pub fn table(version: u64, routes: Vec<Route>) -> Table {
     Table {
         version: Version(version),
@@ -113,14 +114,14 @@
     }
 }
 
-/// Writes a table as operators do; its length in bytes.
+/// Writes a routing table to the store as operators do; returns its length in bytes.
 pub fn write_table(scene: &Scene, table: &Table) -> usize {
-    let written = serde_json::to_vec(table).expect("it is written");
-    scene.store.overwrite(ROUTES, &written);
-    written.len()
+    let serialized = serde_json::to_vec(table).expect("it is serialized");
+    scene.store.overwrite(ROUTES, &serialized);
+    serialized.len()
 }
 
-/// A repeatable call.
+/// Returns a repeatable call.
 pub fn get(id: &str) -> Call {
     Call {
         id: id.to_owned(),
@@ -128,7 +129,7 @@
     }
 }
 
-/// An unrepeatable call with an idempotency key.
+/// Returns an unrepeatable call with an idempotency key.
 pub fn post(id: &str, key: &str) -> Call {
     Call {
         id: id.to_owned(),
@@ -138,7 +139,7 @@
     }
 }
 
-/// An unrepeatable call without a key.
+/// Returns an unrepeatable call without an idempotency key.
 pub fn bare_post(id: &str) -> Call {
     Call {
         id: id.to_owned(),
@@ -147,7 +148,7 @@
     }
 }
 
-/// The same call with so much time allowed.
+/// Returns the call with this timeout.
 pub fn within(millis: u64, call: Call) -> Call {
     Call {
         timeout: Duration::from_millis(millis),
@@ -155,24 +156,24 @@
     }
 }
 
-/// Gives every upstream this manner.
+/// Sets this manner for every upstream.
 pub fn all_behave(scene: &Scene, manner: Manner) {
     for index in 0..scene.hosts.len() {
         scene.behave(index, |behaviour| behaviour.manner = manner);
     }
 }
 
-/// Runs of several ids together.
+/// Returns the total number of runs of these request IDs.
 pub fn runs(scene: &Scene, ids: &[&str]) -> u32 {
     ids.iter().map(|id| scene.runs(id)).sum()
 }
 
-/// Index of the host behind the relay, and of the entry that reaches it through it.
+/// Indices of the host behind the relay, and of the entry that reaches that host through the relay.
 pub const BEHIND: usize = 1;
 pub const ENTRY: usize = 2;
 
-/// A service of one host, whose peer port all others reach through a relay, and an
-/// entry apart from it.
+/// Starts a service of one host, whose peer port all others reach through a relay, and a separate
+/// entry.
 pub async fn relayed() -> (Scene, Arc<Relay>) {
     let mut scene = threads(hosts(1)).await;
     let relay = Arc::new(Relay::default());
@@ -190,7 +191,7 @@
     (scene, relay)
 }
 
-/// Waits until the node of a host knows the one behind the relay.
+/// Waits until the node at `index` knows the host behind the relay.
 pub async fn until_known_behind(scene: &Scene, index: usize) {
     let knows = |status: &Status| status.seen.iter().any(|seen| &*seen.host == "behind");
     scene
@@ -198,7 +199,7 @@
         .await;
 }
 
-/// A preset that differs from the default in one value.
+/// Returns a preset that differs from the default only in its retry share.
 pub fn preset(retry_share: f64) -> Preset {
     Preset {
         retry_share,
@@ -206,7 +207,7 @@
     }
 }
 
-/// Waits until every node shows this revision or a later one.
+/// Waits until this revision or a later one is in force on every node.
 pub async fn until_revision(scene: &Scene, revision: u64) {
     scene
         .until("the revision is in force everywhere", |status| {
@@ -215,7 +216,7 @@
         .await;
 }
 
-/// What callers were told under load, to be checked against what ran.
+/// Replies that callers received under load, to be checked against the requests that ran.
 #[derive(Default)]
 pub struct Account {
     pub told: HashMap<String, Told>,
@@ -223,7 +224,7 @@
 }
 
 impl Account {
-    /// Sends load and notes what callers were told.
+    /// Sends load and records the replies to the callers.
     pub async fn run(&mut self, plan: &Load) {
         load::run(plan, |record| {
             let id = record.call.id.clone();
@@ -235,17 +236,17 @@
         .await;
     }
 
-    /// Checks every answer against the accounts of the upstreams.
+    /// Checks every reply against what the upstreams recorded.
     pub fn check(&self, scene: &Scene) {
-        for (id, told) in &self.told {
-            if told.is_not_run() {
-                assert_eq!(scene.runs(id), 0, "{id} was told not run: {told:?}");
+        for (id, reply) in &self.told {
+            if reply.is_not_run() {
+                assert_eq!(scene.runs(id), 0, "{id} was refused as not run: {reply:?}");
             }
-            if let Told::Answer { body, status, .. } = told
+            if let Told::Answer { body, status, .. } = reply
                 && status.is_success()
             {
                 let answer = Answer::parse(body).expect("an answer of the stand-in");
-                assert_eq!(&answer.id, id, "somebody else's answer");
+                assert_eq!(&answer.id, id, "the response belongs to another request");
             }
         }
         for id in &self.unrepeatable {
@@ -253,24 +254,25 @@
         }
     }
 
-    /// How many were told something of this kind.
+    /// Returns the number of replies of this kind.
     pub fn count(&self, kind: impl Fn(&Told) -> bool) -> usize {
-        self.told.values().filter(|told| kind(told)).count()
+        self.told.values().filter(|reply| kind(reply)).count()
     }
 
-    /// Asserts that everybody got an answer of success.
+    /// Asserts that every request succeeded.
     pub fn all_succeeded(&self) {
         let failed: Vec<_> = self
             .told
             .iter()
-            .filter(|(_, t)| !t.is_success())
+            .filter(|(_, reply)| !reply.is_success())
             .take(5)
             .collect();
         assert!(failed.is_empty(), "of {}: {failed:?}", self.told.len());
     }
 }
 
-/// Load on all entries, a fifth of it unrepeatable, with keys never used before.
+/// Returns load on all entries, a fifth of it unrepeatable, with idempotency keys that were never
+/// used before.
 pub fn mixed_load(scene: &Scene, rate: f64, seconds: f64) -> Load {
     static RUNS: AtomicU32 = AtomicU32::new(0);
     Load {
@@ -283,10 +285,10 @@
     }
 }
 
-/// Whether an answer visibly broke.
-pub const fn is_broken(told: &Told) -> bool {
+/// Returns whether the caller got no complete response.
+pub const fn is_broken(reply: &Told) -> bool {
     matches!(
-        told,
+        reply,
         Told::NoConnection | Told::Broken { .. } | Told::Silence
     )
 }
--- a/crates/node/tests/explain.rs
+++ b/crates/node/tests/explain.rs
@@ -1,4 +1,4 @@
-//! From the id of a failed request to its cause, by the logs of real processes alone.
+//! `explain` finds the cause of a failed request from its ID and the logs of real processes alone.
 
 mod common;
 
@@ -14,18 +14,18 @@
 use mintridge_node::settings::Settings;
 use mintridge_standin::upstream::Behaviour;
 
-const WAIT_MOST: Duration = Duration::from_secs(30);
+const LOG_TIMEOUT: Duration = Duration::from_secs(30);
 /// Index of a node apart from the only host of the service.
 const ENTRY: usize = 1;
-/// Work that takes longer than any of these tests.
+/// Service time longer than any of these tests.
 const ENDLESS_MICROS: u64 = 100_000_000;
 
-/// Nodes that take the caller's own id.
-fn own_ids(settings: &mut Settings) {
+/// Makes nodes use the request ID that the caller sends.
+fn use_caller_ids(settings: &mut Settings) {
     settings.callers.request_header = Some(String::from("x-request-id"));
 }
 
-/// One host with one slot, whose work takes longer than the test.
+/// One host with one slot, whose service time is longer than the test.
 fn one_slot() -> Plan {
     Plan {
         behaviour: Behaviour {
@@ -33,18 +33,18 @@
             slots: 1,
             ..Behaviour::default()
         },
-        adjust: own_ids,
+        adjust: use_caller_ids,
         ..hosts(1)
     }
 }
 
-/// The story of a request, once the logs of all nodes tell its end.
+/// Returns the story of a request once the logs of the nodes contain its cause.
 async fn story(scene: &Scene, request: &str) -> Story {
-    let give_up_at = Instant::now() + WAIT_MOST;
+    let timeout_at = Instant::now() + LOG_TIMEOUT;
     loop {
         let files: Vec<PathBuf> = (0..scene.hosts.len())
             .filter(|index| scene.hosts[*index].node.is_some())
-            .map(|index| written(scene, index))
+            .map(|index| write_logs(scene, index))
             .collect();
         let story = explain::read(request, &files);
         for file in files {
@@ -55,23 +55,23 @@
         {
             return story;
         }
-        assert!(Instant::now() < give_up_at, "the logs tell no end");
+        assert!(Instant::now() < timeout_at, "the logs contain no cause");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// The logs of one node, as a file named after a port that no other node has.
-fn written(scene: &Scene, index: usize) -> PathBuf {
+/// Writes the logs of one node to a file named after its port for callers, which no other node has.
+fn write_logs(scene: &Scene, index: usize) -> PathBuf {
     let port = scene.addresses(index).callers.port();
     let path = env::temp_dir().join(format!("mintridge-logs-{port}"));
     fs::write(&path, scene.process(index).logs().join("\n")).expect("written");
     path
 }
 
-/// A caller's request finds the only slot taken by work that will not end in its time. It is
-/// refused at once; the logs tell the load that decided it.
+/// The only slot is taken by a request that will not end before the deadline of the next one, which
+/// is refused at once. The logs must show the load that led to the refusal.
 #[tokio::test]
-async fn story_of_a_request_refused_for_want_of_room() {
+async fn story_of_a_refusal_without_a_free_slot() {
     let scene = processes(one_slot()).await;
     let entry = scene.addresses(0).callers;
     let caller = scene.caller.clone();
@@ -81,20 +81,20 @@
             status.guarded.load.in_flight == 1
         })
         .await;
-    let told = scene.call(0, &within(5, bare_post("refused"))).await;
-    assert!(told.is_not_run(), "{told:?}");
+    let reply = scene.call(0, &within(5, bare_post("refused"))).await;
+    assert!(reply.is_not_run(), "{reply:?}");
     let story = story(&scene, "refused").await;
     assert!(story.cause.contains("deadline (503)"), "{}", story.cause);
     let refused = story.events.iter();
     let mut refused = refused.filter(|event| event.message == "refused beside the upstream");
-    let refused = refused.next().expect("the guard tells why");
+    let refused = refused.next().expect("the guard logs the reason");
     assert!(refused.details.contains("in_flight=1"), "{refused:?}");
     first.abort();
 }
 
-/// The node beside the upstream is killed while its upstream works on an unrepeatable request.
-/// The caller is told at once that it may have run; the logs of the node that it spoke to tell
-/// which link broke.
+/// The node beside the upstream is killed while its upstream works on an unrepeatable request. The
+/// request is refused at once with an unknown outcome; the logs of the entry node must show which
+/// link broke.
 #[tokio::test]
 async fn story_of_an_unknown_outcome() {
     let mut scene = processes(one_slot()).await;
@@ -103,24 +103,24 @@
     let entry = scene.addresses(ENTRY).callers;
     let caller = scene.caller.clone();
     let call = tokio::spawn(async move { caller.call(entry, &bare_post("lost")).await });
-    let at_work = |status: &Status| status.guarded.load.in_flight == 1;
-    scene.until_of(&[0], "the slot is taken", at_work).await;
+    let is_running = |status: &Status| status.guarded.load.in_flight == 1;
+    scene.until_of(&[0], "the slot is taken", is_running).await;
     scene.kill(0).await;
-    let told = call.await.expect("the call ends").told;
-    assert!(told.is_unknown(), "{told:?}");
+    let reply = call.await.expect("the call ends").told;
+    assert!(reply.is_unknown(), "{reply:?}");
     let story = story(&scene, "lost").await;
     assert!(story.cause.contains("link-lost (502)"), "{}", story.cause);
     assert!(story.cause.contains("it may have run"), "{}", story.cause);
-    let broke = |event: &explain::Event| event.details.contains("to=service-1");
-    assert!(story.events.iter().any(broke), "{story:?}");
+    let names_the_link = |event: &explain::Event| event.details.contains("to=service-1");
+    assert!(story.events.iter().any(names_the_link), "{story:?}");
 }
 
-/// Operators take a route away; a caller that still asks for it gets 404. The logs tell what it
-/// asked for and by which version.
+/// Operators remove a route, and a caller that still requests it gets a 404. The logs must show the
+/// request and the version of the routing table that it was matched against.
 #[tokio::test]
-async fn story_of_a_route_that_was_taken_away() {
+async fn story_of_a_removed_route() {
     let adjust = |settings: &mut Settings| {
-        own_ids(settings);
+        use_caller_ids(settings);
         settings.routes.key = Some(String::from(ROUTES));
     };
     let scene = processes(Plan { adjust, ..hosts(1) }).await;
@@ -128,12 +128,12 @@
     scene
         .until("the table is in force", |status| status.routes_version == 7)
         .await;
-    let told = scene.call(0, &bare_post("gone")).await;
-    assert!(told.is_not_run(), "{told:?}");
+    let reply = scene.call(0, &bare_post("gone")).await;
+    assert!(reply.is_not_run(), "{reply:?}");
     let story = story(&scene, "gone").await;
     assert!(story.cause.contains("no-route (404)"), "{}", story.cause);
-    let asked = |event: &explain::Event| {
+    let has_the_version = |event: &explain::Event| {
         event.message == "request not taken" && event.details.contains("routes_version=7")
     };
-    assert!(story.events.iter().any(asked), "{story:?}");
+    assert!(story.events.iter().any(has_the_version), "{story:?}");
 }
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short run of the soak over real processes, and the seeds that ever failed.
+//! A short soak test with real processes, including the seeds that have failed before.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -6,21 +6,20 @@
 use mintridge_standin::soak::{self, Settings};
 use rstest::rstest;
 
-/// Random faults from outside, or planned work alone, while callers send: stops, kills,
-/// pauses, cut and silent networks, a store that is down, slow, silent or loses replies,
-/// upstreams that start again under their id or end under a request, large bodies in progress
-/// meanwhile. No
-/// unrepeatable request runs twice, "not run" is true, answers are whole and their request's
-/// own, nothing reverts, a leaving upstream is left alone, planned work cuts off nothing, and
-/// the fleet serves everybody again at the end.
+/// Injects random faults, or planned work alone, while callers send requests, some with large
+/// bodies: stops, kills and pauses of nodes; cut or stalled networks; a store that is down, slow,
+/// silent or loses replies; upstreams that restart under the same ID or crash during a request. No
+/// unrepeatable request may run twice, "not run" must be true, responses must be complete and
+/// belong to their request, no state may revert, a leaving upstream must get no requests, planned
+/// work must not interrupt requests, and at the end all requests must be served again.
 #[rstest]
 #[case::mixed(1, true)]
 #[case::planned(3, true)]
-// A request ended without a word beside a planned stop.
+// A request ended without a response during a planned stop.
 #[case::crossed_a_close(141, false)]
-// A caller repeats a request that ends upstreams, beside kills, pauses and cuts.
+// A caller repeats a request that crashes upstreams, during kills, pauses and cuts.
 #[case::crashing(2, true)]
-// Upstreams turn cold without a word, beside kills, pauses and cuts.
+// Upstreams become cold without announcing it, during kills, pauses and cuts.
 #[case::cold(8, true)]
 #[tokio::test(flavor = "multi_thread")]
 async fn run_keeps_every_promise(#[case] seed: u64, #[case] bodies: bool) {
--- a/crates/node/tests/strangers.rs
+++ b/crates/node/tests/strangers.rs
@@ -1,4 +1,4 @@
-//! Malformed and foreign input: a clear error, a counter, and the rest goes on.
+//! Malformed or foreign input gets a clear error and does not affect other requests.
 
 mod common;
 
@@ -13,7 +13,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Sends bytes and returns what comes back until the other side closes or falls silent.
+/// Sends bytes and returns what is received until the peer closes the connection, or within one
+/// second.
 async fn send(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.expect("connects");
     let _ = stream.write_all(bytes).await;
@@ -23,12 +24,12 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-async fn still_serves(scene: &Scene) {
+async fn assert_still_serves(scene: &Scene) {
     assert!(scene.call(0, &get("after")).await.is_success());
 }
 
-/// Shapes by which two parsers may disagree where a request ends. None reaches an
-/// upstream as a second request.
+/// Guards against request smuggling: inputs for which two parsers may disagree where a request
+/// ends. None may reach an upstream as a second request.
 #[rstest]
 #[case::length_and_chunked(
     "POST / HTTP/1.1\r\nhost: service\r\ncontent-length: 44\r\ntransfer-encoding: chunked\r\n\r\n\
@@ -50,7 +51,7 @@
     let scene = processes(hosts(1)).await;
     send(scene.addresses(0).callers, bytes.as_bytes()).await;
     assert_eq!(scene.runs("smuggled"), 0);
-    still_serves(&scene).await;
+    assert_still_serves(&scene).await;
 }
 
 #[rstest]
@@ -73,32 +74,32 @@
         answer.starts_with(&format!("HTTP/1.1 {status}")),
         "{answer}"
     );
-    still_serves(&scene).await;
+    assert_still_serves(&scene).await;
 }
 
 #[tokio::test]
 async fn oversized_headers_are_refused() {
     let scene = processes(hosts(1)).await;
-    let huge = format!(
+    let oversized = format!(
         "GET / HTTP/1.1\r\nhost: service\r\nx-huge: {}\r\n\r\n",
         "x".repeat(200_000)
     );
-    let answer = send(scene.addresses(0).callers, huge.as_bytes()).await;
+    let answer = send(scene.addresses(0).callers, oversized.as_bytes()).await;
     assert!(
         answer.is_empty() || answer.starts_with("HTTP/1.1 4"),
         "{answer}"
     );
-    still_serves(&scene).await;
+    assert_still_serves(&scene).await;
 }
 
-/// Garbage, and another protocol, on every port of a node.
+/// Sends garbage, or another protocol, to every port of a node.
 #[rstest]
 #[case::zeroes(&[0; 4096])]
 #[case::ones(&[255; 4096])]
 #[case::http(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")]
 #[case::huge_length(&[0, 0, 0, 0, 255, 255, 255, 127])]
 #[tokio::test]
-async fn garbage_on_every_port_harms_nobody(#[case] bytes: &[u8]) {
+async fn garbage_on_every_port_has_no_effect(#[case] bytes: &[u8]) {
     let scene = processes(hosts(2)).await;
     let addresses = scene.addresses(0);
     let ports = [
@@ -111,12 +112,12 @@
     for port in ports {
         send(port, bytes).await;
     }
-    still_serves(&scene).await;
+    assert_still_serves(&scene).await;
     scene.until_joined().await;
 }
 
-/// A caller sends the headers that nodes use among themselves: they are dropped, and the
-/// request is the caller's own.
+/// A caller sends headers that only nodes may send to each other. They must be dropped, and the
+/// request is served as any other.
 #[tokio::test]
 async fn headers_of_peers_from_outside_are_dropped() {
     let scene = processes(hosts(1)).await;
@@ -130,29 +131,29 @@
         assert_eq!(
             scene.runs("own"),
             sent,
-            "the claim of an outsider counts for nothing"
+            "the claim header of a caller has no effect"
         );
     }
 }
 
-/// An upstream passes on the refusal of a deeper call, with its headers. It ran, so its
-/// answer is an answer: not taken for a refusal, and an unrepeatable request is not sent
-/// to another host.
+/// An upstream passes on the refusal of a nested call, with its headers. The request ran at the
+/// upstream, so its response must not be mistaken for a refusal by the node beside it, and an
+/// unrepeatable request must not be sent to another host.
 #[tokio::test]
-async fn refusal_of_a_deeper_call_is_not_taken_for_one_here() {
+async fn refusal_of_a_nested_call_is_passed_on_as_a_response() {
     let scene = processes(hosts(2)).await;
     let call = Call {
         path: String::from("/deeper"),
         ..common::post("deep", "key")
     };
-    let told = scene.call(0, &call).await;
-    assert!(matches!(told, Told::Answer { .. }), "{told:?}");
+    let reply = scene.call(0, &call).await;
+    assert!(matches!(reply, Told::Answer { .. }), "{reply:?}");
     assert_eq!(scene.runs("deep"), 1);
 }
 
-/// Many callers open connections and send nothing, or half a header: others are served.
+/// Many callers open connections and send only part of a header section. Others must be served.
 #[tokio::test]
-async fn slow_senders_keep_nobody_out() {
+async fn slow_senders_do_not_block_others() {
     let scene = processes(hosts(1)).await;
     let mut slow = Vec::new();
     for _ in 0..300 {
@@ -162,7 +163,7 @@
         let _ = stream.write_all(b"GET / HTTP/1.1\r\nhost: ser").await;
         slow.push(stream);
     }
-    still_serves(&scene).await;
+    assert_still_serves(&scene).await;
 }
 
 #[tokio::test]
@@ -172,16 +173,16 @@
         service: String::from("nobody"),
         ..get("lost")
     };
-    let told = scene.call(0, &call).await;
+    let reply = scene.call(0, &call).await;
     assert!(
         matches!(
-            told,
+            reply,
             Told::Refused {
                 reason: Reason::NoUpstream,
                 ..
             }
         ),
-        "{told:?}"
+        "{reply:?}"
     );
-    assert!(told.is_not_run());
+    assert!(reply.is_not_run());
 }
--- a/crates/node/tests/uploads.rs
+++ b/crates/node/tests/uploads.rs
@@ -1,4 +1,4 @@
-//! Large bodies on their way to the node beside the upstream: few trips, and nothing for nothing.
+//! Large bodies reach the node beside the upstream in few round trips, and only if there is a slot.
 
 mod common;
 
@@ -12,14 +12,14 @@
 use mintridge_standin::scene::wait_for;
 use mintridge_standin::upstream::Result as Answer;
 
-/// Bytes of a scanned document.
-const LARGE: usize = 360_000;
-/// What may be carried for a request that has no slot yet: the beginning of its body, which tells
-/// whose it is, with its head and what keeps the link.
-const CARRIED_MOST: usize = 24 * 1024;
+/// Size of a scanned document.
+const UPLOAD_BYTES: usize = 360_000;
+/// Maximum number of bytes sent for a request that has no slot yet: the beginning of its body,
+/// which is needed for its fingerprint, its head, and the traffic that keeps the link alive.
+const MAX_CARRIED_BYTES: usize = 24 * 1024;
 
-/// A host behind a relay, and an entry that has a link to it.
-async fn linked() -> (Scene, Arc<Relay>) {
+/// A host behind a relay, and an entry with an open link to it.
+async fn relayed_with_open_link() -> (Scene, Arc<Relay>) {
     let (scene, relay) = relayed().await;
     assert!(scene.call(ENTRY, &get("opens-the-link")).await.is_success());
     (scene, relay)
@@ -27,34 +27,35 @@
 
 fn upload(id: &str) -> Call {
     Call {
-        body: Bytes::from(vec![7; LARGE]),
+        body: Bytes::from(vec![7; UPLOAD_BYTES]),
         ..bare_post(id)
     }
 }
 
-/// A caller uploads a document of 360 KB and has two seconds. Each trip between the nodes takes a
-/// tenth of a second, as on a machine whose threads wait that long for their turn. Sent 16 KB a
-/// trip it takes 23 of them, and its caller is told 504 while the upload runs. The log lines of
-/// such a machine: `attempt` with outcome `deadline`, of 300 KB after 2.2 s, for one upload after
-/// the other, and of next to no request without a body.
+/// Guards against uploads that miss their deadline because they need too many round trips. A caller
+/// uploads 360 KB within two seconds, while each round trip between the nodes takes 100 ms, as on a
+/// machine whose threads wait that long to be scheduled. At 16 KB a round trip the upload needs 23
+/// of them, and its caller gets a 504 while the upload is still in progress. The log of such a
+/// machine has `attempt` lines with outcome `deadline` for one upload after the other (300 KB after
+/// 2.2 s), and for almost no request without a body.
 #[tokio::test]
-async fn upload_takes_few_trips() {
-    let (scene, relay) = linked().await;
+async fn upload_takes_few_round_trips() {
+    let (scene, relay) = relayed_with_open_link().await;
     relay.set(Condition::Slow(50));
-    let told = scene.call(ENTRY, &within(2_000, upload("upload"))).await;
-    let Told::Answer { body, .. } = &told else {
-        panic!("{told:?}");
+    let reply = scene.call(ENTRY, &within(2_000, upload("upload"))).await;
+    let Told::Answer { body, .. } = &reply else {
+        panic!("{reply:?}");
     };
     let answer = Answer::parse(body).expect("an answer of the stand-in");
-    assert_eq!(answer.body_bytes, LARGE as u64);
+    assert_eq!(answer.body_bytes, UPLOAD_BYTES as u64);
 }
 
-/// Every slot of the upstream is taken, so that an upload waits for one and may be refused yet.
-/// Meanwhile only the beginning of its body is carried to the host; once it has a slot the rest
-/// follows, and its caller gets the answer.
+/// Guards against a body that is sent for a request that may still be refused. All slots of the
+/// upstream are taken, so an upload waits for one. Until then only the beginning of its body is
+/// sent to the host; once it has a slot the rest follows, and its caller gets the response.
 #[tokio::test]
-async fn upload_that_waits_is_not_carried() {
-    let (scene, relay) = linked().await;
+async fn body_is_not_sent_before_there_is_a_slot() {
+    let (scene, relay) = relayed_with_open_link().await;
     scene.behave(BEHIND, |behaviour| behaviour.service_micros = 1_500_000);
     let entry = scene.addresses(ENTRY).callers;
     let mut running = Vec::new();
@@ -70,12 +71,12 @@
     .await;
     let before = relay.carried();
     let caller = scene.caller.clone();
-    let waits =
+    let waiting =
         tokio::spawn(async move { caller.call(entry, &within(20_000, upload("waits"))).await });
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert_eq!(scene.runs("waits"), 0);
     let carried = relay.carried() - before;
-    assert!(carried < CARRIED_MOST, "{carried} bytes");
-    let heard = waits.await.expect("the caller lives");
-    assert!(heard.told.is_success(), "{:?}", heard.told);
+    assert!(carried < MAX_CARRIED_BYTES, "{carried} bytes");
+    let timed_reply = waiting.await.expect("the caller lives");
+    assert!(timed_reply.told.is_success(), "{:?}", timed_reply.told);
 }
