--- a/crates/node/src/guard.rs
+++ b/crates/node/src/guard.rs
@@ -1,4 +1,5 @@
-//! The guard: all requests to the upstream pass here, so its load is counted, not asked.
+//! The guard: every request to the upstream passes through it, so the node measures the upstream's
+//! load by counting instead of polling.
 
 mod discovery;
 mod follow;
@@ -57,24 +58,24 @@
 use crate::traces;
 use crate::upstream::Upstream;
 
-/// Bytes of a body that may be on their way to this node. Peers send the beginning alone until the
-/// request has a slot; the rest then comes in few trips.
+/// HTTP/2 receive window in bytes. Peers send only the beginning of a body until the request has a
+/// slot; with this window the rest then arrives in few round trips.
 const BODY_WINDOW: u32 = 256 * 1024;
 
-/// Everything the guard's requests share.
+/// State shared by all requests of the guard.
 struct Guard {
     context: Arc<Context>,
     state: Mutex<State>,
     queued: Notify,
     reporting: Reporting,
     pace: pace::Pace,
-    /// Requests wait for the end of a slow phase.
-    pace_held: Notify,
-    /// How long the upstream stays cold has to be asked.
+    /// Wakes the task that polls the upstream while requests wait for the end of a slow phase.
+    slow_phase_wait: Notify,
+    /// Wakes the task that asks the upstream how long it stays cold.
     warm_up_due: Notify,
     unplaced: Unplaced,
-    /// Who the upstream is has to be found out.
-    unknown_upstream: Notify,
+    /// Wakes the task that discovers the upstream's instance.
+    discovery_due: Notify,
     upstream: Upstream,
     log: RequestLog,
     prober: Client<HttpConnector, Empty<Bytes>>,
@@ -84,19 +85,19 @@
     admission: Admission,
     gate: Gate,
     health: Health,
-    /// For probes in doubt: a share of the time of one slot.
-    budget: probe::Budget,
-    /// For questions after the pace: the same share of the time of all other slots, so that
-    /// both together stay within it.
+    /// Budget for probes of a doubtful upstream: a share of the time of one slot.
+    probe_budget: probe::Budget,
+    /// Budget for pace polls: the same share of the time of all other slots, so that both budgets
+    /// together stay within that share of the upstream.
     pace_budget: probe::Budget,
     announcement: Option<Announcement>,
     instance: instance::Register,
     waiters: HashMap<Id, oneshot::Sender<Result<(), Refusal>>>,
     next_id: u64,
     runs: Runs,
-    /// Requests that are held back and tried at this moment.
+    /// Quarantined requests whose trial is in progress.
     trials: HashSet<Fingerprint>,
-    /// Requests that the upstream answered.
+    /// Counts how often the upstream answered each request.
     answered: Answered,
 }
 
@@ -108,14 +109,14 @@
 ) {
     let guard = Arc::new(Guard::new(Arc::clone(&context)));
     follow::start(&guard, announcements);
-    tokio::spawn(probing::when_due(Arc::clone(&guard)));
+    tokio::spawn(probing::run(Arc::clone(&guard)));
     tokio::spawn(reporting::run(Arc::clone(&guard)));
     tokio::spawn(discovery::run(Arc::clone(&guard)));
-    tokio::spawn(pace::while_held(Arc::clone(&guard)));
-    tokio::spawn(warm_up::when_due(Arc::clone(&guard)));
+    tokio::spawn(pace::poll_in_slow_phase(Arc::clone(&guard)));
+    tokio::spawn(warm_up::run(Arc::clone(&guard)));
     tokio::spawn(warm_up::follow_rate(Arc::clone(&guard)));
     let handler = Function::new(guard, |guard, request| -> Answer {
-        Box::pin(answer(guard, request))
+        Box::pin(handle(guard, request))
     });
     let limits = server::Limits {
         window: BODY_WINDOW,
@@ -124,17 +125,20 @@
     let phase = context.peers_phase();
     let ended = server::serve(listener, handler, server::Protocol::Http2, limits, phase).await;
     if ended.cut > 0 {
-        log::warn!(connections = ended.cut; "peers' requests were cut by the stop");
+        log::warn!(
+            connections = ended.cut;
+            "shutdown closed connections with peers' requests in progress"
+        );
     }
 }
 
-async fn answer(guard: Arc<Guard>, request: Request<Body>) -> Response<Body> {
+async fn handle(guard: Arc<Guard>, request: Request<Body>) -> Response<Body> {
     if request.uri().path() == CHECK_PATH {
         return reply::text(StatusCode::OK, "here\n");
     }
     if request.uri().path() == SLOT_PATH {
         let number = headers::number(request.headers()).unwrap_or("");
-        guard.unplaced.ended(number).await;
+        guard.unplaced.wait_for_decision(number).await;
         return reply::text(StatusCode::OK, "it has a slot or was refused\n");
     }
     let now = Instant::now();
@@ -142,13 +146,13 @@
         Ok(head) => head,
         Err(error) => {
             guard.context.metrics.bad_input("peer-request");
-            log::warn!(error:% = error; "request of a peer not taken");
+            log::warn!(error:% = error; "rejected a malformed request from a peer");
             let refusal = Refusal::not_run(Reason::BadRequest, now);
             return guard.refuse(&refusal, "", false);
         }
     };
     if let Some(address) = head.report_to {
-        guard.reporting.sent(now, address);
+        guard.reporting.record_request(now, address);
     }
     let span = traces::child("guard", &guard.context, request.headers());
     traces::within(span, serve(guard, head, request)).await
@@ -191,7 +195,7 @@
                     .with_warm_up(WarmUp::new(settings.warm_up.clone(), now)),
                 gate: Gate::new(settings.gate.clone(), now),
                 health: Health::new(settings.health.clone()),
-                budget: probe::Budget::new(settings.probe.clone(), share, now),
+                probe_budget: probe::Budget::new(settings.probe.clone(), share, now),
                 pace_budget: probe::Budget::new(settings.probe.clone(), share, now),
                 announcement: None,
                 instance: instance::Register::new(settings.gate.announcement_lapses),
@@ -204,10 +208,10 @@
             queued: Notify::new(),
             reporting: Reporting::default(),
             pace: pace::Pace::default(),
-            pace_held: Notify::new(),
+            slow_phase_wait: Notify::new(),
             warm_up_due: Notify::new(),
             unplaced: Unplaced::default(),
-            unknown_upstream: Notify::new(),
+            discovery_due: Notify::new(),
             upstream: Upstream::new(settings, context.adapter),
             log: RequestLog::new(&settings.logs),
             prober,
@@ -215,28 +219,28 @@
         }
     }
 
-    /// Does what admission decided, until it has nothing more.
+    /// Carries out pending admission decisions until none is left.
     fn pump(&self) {
         let now = Instant::now();
         loop {
             let mut state = self.state.lock();
             let Some(action) = state.admission.poll(now) else {
-                self.check_warm_up(&state, now);
+                self.notify_if_warm_up_due(&state, now);
                 return;
             };
-            let (id, settled) = match action {
+            let (id, result) = match action {
                 Action::Admit(id) => (id, Ok(())),
                 Action::Refuse(id, refusal) => (id, Err(refusal)),
             };
             let waiter = state.waiters.remove(&id);
-            if waiter.is_none_or(|waiter| waiter.send(settled).is_err()) {
+            if waiter.is_none_or(|waiter| waiter.send(result).is_err()) {
                 state.admission.finish(id);
             }
         }
     }
 
     async fn claim(&self, claim: &Claim, deadline: Instant) -> Result<(), Refusal> {
-        let (answer, answered) = oneshot::channel();
+        let (answer, receiver) = oneshot::channel();
         let job = Job::Ask {
             claim: claim.clone(),
             deadline,
@@ -246,7 +250,7 @@
             self.context.metrics.ring_full("claims");
             return Err(self.not_run(Reason::StoreUnavailable));
         }
-        match tokio::time::timeout_at(deadline.into(), answered).await {
+        match tokio::time::timeout_at(deadline.into(), receiver).await {
             Ok(Ok(ClaimVerdict::Granted)) => Ok(()),
             Ok(Ok(ClaimVerdict::Duplicate)) => Err(self.unknown(Instant::now(), Reason::Duplicate)),
             Ok(Ok(ClaimVerdict::Doubtful)) => {
@@ -259,11 +263,11 @@
         }
     }
 
-    /// The upstream told its load.
+    /// Applies the load that the upstream reported; notifies peers if it changed.
     fn observe_load(&self, now: Instant, load: Option<&UpstreamLoad>) {
         let Some(load) = load else { return };
         if self.state.lock().admission.observe_load(now, load) {
-            self.reporting.changed();
+            self.reporting.notify_change();
         }
     }
 
@@ -294,7 +298,7 @@
         response
     }
 
-    /// A refusal with what it was decided on.
+    /// Logs a refusal together with the load it is based on.
     fn log_refusal(&self, refusal: &Refusal, request: &str, report: &Report) {
         if !self.log.admits(1) {
             return;
@@ -320,19 +324,19 @@
         let evacuated = view.evacuated.contains(zone);
         let mut state = self.state.lock();
         state.gate.set_preset_drain(now, leaving);
-        // The upstream may have turned cold while its zone was empty.
+        // The upstream may have turned cold while its zone was evacuated and got no requests.
         if state.gate.is_evacuated() && !evacuated {
             state.admission.warm_up_mut().invalidate();
             self.warm_up_due.notify_one();
         }
         state.gate.set_evacuated(now, evacuated);
-        state.budget.set_share(now, preset.probe_share);
+        state.probe_budget.set_share(now, preset.probe_share);
         state.pace_budget.set_share(now, preset.probe_share);
         drop(state);
         self.publish();
     }
 
-    /// Shows the upstream to the other duties.
+    /// Publishes the state of the upstream to the node's other tasks.
     fn publish(&self) {
         let now = Instant::now();
         let mut state = self.state.lock();
@@ -345,7 +349,7 @@
             slots: announcement.slots,
             leaving,
         });
-        let spent = state.budget.spent() + state.pace_budget.spent();
+        let spent = state.probe_budget.spent() + state.pace_budget.spent();
         let guarded = Guarded {
             load: state.admission.report(now),
             closed,
@@ -354,14 +358,14 @@
         };
         drop(state);
         self.context.metrics.guarded(&guarded);
-        replace(&self.context.latest.upstream, upstream);
-        replace(&self.context.latest.guarded, guarded);
+        send_if_changed(&self.context.latest.upstream, upstream);
+        send_if_changed(&self.context.latest.guarded, guarded);
     }
 }
 
 impl State {
-    /// The reason to refuse a new request for `service`, if there is one.
-    fn closed(&mut self, now: Instant, service: &str) -> Option<Reason> {
+    /// Returns the reason to refuse a new request for `service`, if there is one.
+    fn refusal_reason(&mut self, now: Instant, service: &str) -> Option<Reason> {
         if let Some(reason) = self.gate.check(now) {
             return Some(reason);
         }
@@ -375,7 +379,7 @@
     }
 }
 
-fn replace<T: PartialEq>(latest: &tokio::sync::watch::Sender<T>, value: T) {
+fn send_if_changed<T: PartialEq>(latest: &tokio::sync::watch::Sender<T>, value: T) {
     latest.send_if_modified(|current| {
         let changed = *current != value;
         *current = value;
--- a/crates/node/src/guard/discovery.rs
+++ b/crates/node/src/guard/discovery.rs
@@ -1,8 +1,8 @@
-//! Asks the upstream beside the node who it is, before it has announced itself.
+//! Discovers the upstream beside the node through its health check, before it announces itself.
 //!
-//! Failure: the node starts again while its upstream goes on. Symptom: until the next
-//! announcement, a second or more, the upstream stands idle and the others carry its load.
-//! The upstream's health check names the instance and its slots at once.
+//! Failure: the node restarts while its upstream keeps running. Symptom: until the next
+//! announcement, a second or more, the upstream is idle and the others carry its load.
+//! The response to the health check names the instance and its slots at once.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,68 +15,73 @@
 use super::Guard;
 use crate::announcement::Announcement;
 
-/// Pause between two questions: a few fit before the next announcement is due.
-const ASK_AGAIN: Duration = Duration::from_millis(200);
-/// Questions asked at most: an upstream that answers none of them over two seconds is down,
+/// Timeout of a health check and pause before the next one: a few fit in before the next
+/// announcement is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of health checks: an upstream that answers none of them over two seconds is down
 /// and announces itself when it is back.
-const ASK_MOST: u32 = 10;
+const MAX_CHECKS: u32 = 10;
 
-/// Asks at the start, and whenever the upstream turns out to be another one than expected.
+/// Runs a discovery at startup and whenever a different instance than expected answers.
 pub async fn run(guard: Arc<Guard>) {
     let Some(address) = guard.context.settings.upstream.address else {
         return;
     };
-    guard.unknown_upstream.notify_one();
+    guard.discovery_due.notify_one();
     loop {
-        guard.unknown_upstream.notified().await;
+        guard.discovery_due.notified().await;
         let health_path = health_path(&guard).await;
-        for _ in 0..ASK_MOST {
+        for _ in 0..MAX_CHECKS {
             if guard.state.lock().announcement.is_some() {
                 break;
             }
-            if let Some(found) = ask(&guard, address, &health_path).await {
-                guard.announced(found);
+            if let Some(announcement) = check_health(&guard, address, &health_path).await {
+                guard.apply_announcement(announcement);
                 guard.publish();
                 break;
             }
-            tokio::time::sleep(ASK_AGAIN).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
     }
 }
 
-/// The path that operators gave for the service, once a routing table is known.
+/// Returns the service's health check path from the routing table; waits for a table if one is
+/// configured.
 async fn health_path(guard: &Guard) -> Arc<str> {
     let default = Announcement::default().health_path;
     if guard.context.settings.routes.key.is_none() {
         return default;
     }
     let mut routes = guard.context.latest.routes.subscribe();
-    let Ok(known) = routes.wait_for(Option::is_some).await else {
+    let Ok(latest) = routes.wait_for(Option::is_some).await else {
         return default;
     };
     let service = guard.context.settings.callers.origin.as_str();
-    let service = known
+    let service = latest
         .as_ref()
         .and_then(|document| document.table.services.get(service));
     service.map_or(default, |service| Arc::clone(&service.health_path))
 }
 
-async fn ask(guard: &Guard, address: SocketAddr, path: &str) -> Option<Announcement> {
+async fn check_health(guard: &Guard, address: SocketAddr, path: &str) -> Option<Announcement> {
     let request = Request::builder()
         .method(Method::GET)
         .uri(format!("http://{address}{path}"))
         .body(Empty::new())
         .ok()?;
-    let give_up_at = Instant::now() + ASK_AGAIN;
-    let asked = guard.prober.request(request);
-    let response = tokio::time::timeout_at(give_up_at.into(), asked).await;
+    let give_up_at = Instant::now() + CHECK_INTERVAL;
+    let response = guard.prober.request(request);
+    let response = tokio::time::timeout_at(give_up_at.into(), response).await;
     match response {
         Ok(Ok(response)) if response.status().is_success() => {
-            let found = read(guard, address, path, response.headers());
-            if found.is_none() {
-                log::warn!(upstream:% = address; "health check names no instance or load");
+            let announcement = read_announcement(guard, address, path, response.headers());
+            if announcement.is_none() {
+                log::warn!(
+                    upstream:% = address;
+                    "health check response lacks the instance or the load"
+                );
             }
-            found
+            announcement
         }
         Ok(Ok(response)) => {
             let status = response.status().as_u16();
@@ -84,17 +89,20 @@
             None
         }
         Ok(Err(error)) => {
-            log::info!(upstream:% = address, error:% = error; "upstream cannot be asked");
+            log::info!(
+                upstream:% = address, error:% = error;
+                "health check of the upstream failed"
+            );
             None
         }
         Err(_) => {
-            log::info!(upstream:% = address; "upstream does not answer its health check");
+            log::info!(upstream:% = address; "health check of the upstream timed out");
             None
         }
     }
 }
 
-fn read(
+fn read_announcement(
     guard: &Guard,
     address: SocketAddr,
     path: &str,
--- a/crates/node/src/guard/follow.rs
+++ b/crates/node/src/guard/follow.rs
@@ -1,4 +1,4 @@
-//! The guard's tasks: what it follows, and what time brings.
+//! The guard's background tasks: they apply updates from other tasks and run its timers.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,25 +10,25 @@
 use crate::announcement::{Announcement, Heard, State as Announced};
 use crate::context::Stage;
 
-/// How often the gate's timer runs and the state is shown to the other duties.
+/// Interval at which the gate's timers are checked and the state is published to other tasks.
 pub const TICK: Duration = Duration::from_millis(100);
 
 /// Starts the tasks.
 pub fn start(guard: &Arc<Guard>, announcements: mpsc::Receiver<Heard>) {
-    tokio::spawn(take_announcements(Arc::clone(guard), announcements));
+    tokio::spawn(apply_messages(Arc::clone(guard), announcements));
     tokio::spawn(follow_view(Arc::clone(guard)));
     tokio::spawn(follow_settings(Arc::clone(guard)));
     tokio::spawn(follow_stage(Arc::clone(guard)));
-    tokio::spawn(follow_refreshed(Arc::clone(guard)));
-    tokio::spawn(refuse_late(Arc::clone(guard)));
+    tokio::spawn(follow_refreshes(Arc::clone(guard)));
+    tokio::spawn(wake_admission(Arc::clone(guard)));
     tokio::spawn(tick(Arc::clone(guard)));
 }
 
-async fn take_announcements(guard: Arc<Guard>, mut ring: mpsc::Receiver<Heard>) {
-    while let Some(heard) = ring.recv().await {
-        match heard {
-            Heard::Announced(announcement) => guard.announced(announcement),
-            Heard::Left { instance, born } => guard.left(&instance, born),
+async fn apply_messages(guard: Arc<Guard>, mut ring: mpsc::Receiver<Heard>) {
+    while let Some(message) = ring.recv().await {
+        match message {
+            Heard::Announced(announcement) => guard.apply_announcement(announcement),
+            Heard::Left { instance, born } => guard.apply_leaving(&instance, born),
         }
         guard.publish();
         guard.pump();
@@ -36,8 +36,8 @@
 }
 
 impl Guard {
-    pub(super) fn announced(&self, announcement: Announcement) {
-        if let Some(cause) = self.foreign(&announcement) {
+    pub(super) fn apply_announcement(&self, announcement: Announcement) {
+        if let Some(cause) = self.mismatch(&announcement) {
             self.context.metrics.bad_input("announcement");
             if self.log.admits(1) {
                 log::warn!(
@@ -45,7 +45,7 @@
                     address:% = announcement.address,
                     service = &*announcement.service,
                     cause = cause;
-                    "announcement of something else than this upstream changes nothing"
+                    "ignored an announcement of a different upstream"
                 );
             }
             return;
@@ -57,23 +57,23 @@
             born: announcement.born,
             sequence: announcement.sequence,
         };
-        let again = state.instance.current() == Some(&announcement.instance);
+        let same_id = state.instance.current() == Some(&announcement.instance);
         match state.instance.record_message(now, message) {
             instance::Verdict::Outdated => {
                 log::info!(
                     instance = &*announcement.instance,
                     born:? = announcement.born,
                     sequence = announcement.sequence;
-                    "outdated announcement changes nothing"
+                    "ignored an outdated announcement"
                 );
                 return;
             }
             instance::Verdict::Started => {
-                self.restarted(&mut state);
+                self.reset_after_restart(&mut state);
                 log::info!(
                     instance = &*announcement.instance,
                     born:? = announcement.born,
-                    same_id = again,
+                    same_id = same_id,
                     service = &*announcement.service,
                     slots = announcement.slots;
                     "upstream announced itself"
@@ -95,21 +95,21 @@
         state.announcement = Some(announcement);
     }
 
-    /// The upstream has started again: what was learnt of the start before does not hold, and
-    /// requests in it are lost.
-    pub(super) fn restarted(&self, state: &mut State) {
-        self.ended_before_start(state);
+    /// Resets the state after a restart of the upstream: measurements of the previous start no
+    /// longer hold, and its requests in progress are lost.
+    pub(super) fn reset_after_restart(&self, state: &mut State) {
+        self.record_crash_before_restart(state);
         state.admission.reset_after_restart();
         state.health.reset_after_restart();
         self.upstream.restarted();
     }
 
-    /// Why an announcement is not of the upstream beside this node, if it is not.
+    /// Returns why an announcement does not belong to the upstream beside this node, if so.
     ///
-    /// Failure: another writer announces something under an id of its own. Symptom: the real
-    /// upstream counts as succeeded, and its requests are all refused. The settings say where
-    /// the upstream stands, and the routing table which services there are.
-    fn foreign(&self, announcement: &Announcement) -> Option<&'static str> {
+    /// Failure: another writer announces a different upstream under its own id. Symptom: the real
+    /// upstream counts as replaced by a successor, and all its requests are refused. The settings
+    /// give the upstream's address, and the routing table lists the existing services.
+    fn mismatch(&self, announcement: &Announcement) -> Option<&'static str> {
         let settings = &self.context.settings;
         let expected = settings.upstream.address;
         if expected.is_some_and(|address| address != announcement.address) {
@@ -117,11 +117,11 @@
         }
         let routes = self.context.latest.routes.borrow();
         let services = routes.as_ref().map(|document| &document.table.services)?;
-        let named = services.is_empty() || services.contains_key(&announcement.service);
-        (!named).then_some("unknown service")
+        let exists = services.is_empty() || services.contains_key(&announcement.service);
+        (!exists).then_some("unknown service")
     }
 
-    fn left(&self, instance: &Arc<str>, born: Option<u64>) {
+    fn apply_leaving(&self, instance: &Arc<str>, born: Option<u64>) {
         let now = Instant::now();
         let mut state = self.state.lock();
         let verdict = state.instance.record_end(now, instance, born);
@@ -129,7 +129,7 @@
             instance = &**instance,
             born:? = born,
             verdict:? = verdict;
-            "upstream says goodbye"
+            "upstream announced that it is leaving"
         );
         if verdict == instance::Verdict::Current {
             state.gate.record_announcement(now, true);
@@ -137,7 +137,7 @@
     }
 }
 
-/// Takes what the preset in force and the evacuations say about this host.
+/// Applies the preset in force and the evacuations to this host.
 async fn follow_view(guard: Arc<Guard>) {
     let mut view = guard.context.latest.view.subscribe();
     loop {
@@ -149,7 +149,7 @@
     }
 }
 
-/// Takes each settings file that was accepted.
+/// Applies each settings file that was accepted.
 async fn follow_settings(guard: Arc<Guard>) {
     let mut settings = guard.context.latest.settings.subscribe();
     while settings.changed().await.is_ok() {
@@ -171,20 +171,20 @@
     }
 }
 
-/// Opens the gate after a pause, once what was heard has been taken in here too: the view
-/// may have changed with the same news, and the gate must not open before it is applied.
-async fn follow_refreshed(guard: Arc<Guard>) {
+/// Reopens the gate after a pause of the process, once a refresh has completed. The refresh may
+/// have changed the view, which must be applied before the gate opens.
+async fn follow_refreshes(guard: Arc<Guard>) {
     let mut refreshed = guard.context.latest.refreshed.subscribe();
     while refreshed.changed().await.is_ok() {
-        let asked_at = *refreshed.borrow_and_update();
+        let requested_at = *refreshed.borrow_and_update();
         let view = Arc::clone(&guard.context.latest.view.borrow());
         guard.apply_view(&view);
-        guard.state.lock().gate.record_refresh(asked_at);
+        guard.state.lock().gate.record_refresh(requested_at);
     }
 }
 
-/// Refuses requests in the queue whose turn would come too late.
-async fn refuse_late(guard: Arc<Guard>) {
+/// Polls admission when a queued request can no longer finish in time, so that it is refused.
+async fn wake_admission(guard: Arc<Guard>) {
     loop {
         let wake_at = guard.state.lock().admission.wake_at(Instant::now());
         match wake_at {
--- a/crates/node/src/guard/hand_over.rs
+++ b/crates/node/src/guard/hand_over.rs
@@ -1,7 +1,7 @@
-//! Handing a request to the upstream, and what comes of it.
+//! Hands a request over to the upstream and classifies the result.
 //!
-//! From here on, no answer means that the request may have run, unless the upstream itself says
-//! that it did not.
+//! After the handover a missing response means that the request may have run, unless the upstream
+//! itself reports that it did not.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 use crate::traces;
 use crate::upstream::{self, Received};
 
-/// Hands the request to the upstream; an error is what the caller is told instead.
+/// Hands the request over to the upstream. Returns its response, or the refusal to send instead.
 pub async fn hand_over(
     guard: &Arc<Guard>,
     slot: Slot,
@@ -33,19 +33,19 @@
     request: Request<Body>,
 ) -> Result<Response<Body>, Refusal> {
     let (digest, request) = Digest::begin(&guard.context.settings, head, request);
-    let (mut request, trial) = screening::pass(guard, head, &digest, request).await?;
-    let handed_at = Instant::now();
-    let address = guard.check_hand_over(handed_at, head)?;
-    let in_left = head.deadline.saturating_duration_since(handed_at);
-    guard.prepare(&mut request, head, in_left);
-    let run = guard.run(slot.id, digest.clone());
-    let answered = traces::within(
+    let (mut request, trial) = screening::check(guard, head, &digest, request).await?;
+    let handed_over_at = Instant::now();
+    let address = guard.check_hand_over(handed_over_at, head)?;
+    let time_left = head.deadline.saturating_duration_since(handed_over_at);
+    guard.prepare(&mut request, head, time_left);
+    let run = guard.begin_run(slot.id, digest.clone());
+    let result = traces::within(
         traces::hop("upstream"),
         guard.upstream.send(address, request, head.deadline),
     )
     .await;
     let now = Instant::now();
-    let (mut parts, body) = match answered {
+    let (mut parts, body) = match result {
         Ok(Received::Answer(parts, body)) => (parts, body),
         Ok(Received::NotRun {
             instance,
@@ -55,21 +55,21 @@
             drop(run);
             guard.observe_load(now, load.as_ref());
             if misdirected {
-                return Err(guard.misdirected(now, instance.as_ref()));
+                return Err(guard.record_misdirection(now, instance.as_ref()));
             }
-            return Err(guard.shed(now, slot.id, load.as_ref()));
+            return Err(guard.record_shed(now, slot.id, load.as_ref()));
         }
         Err(error) => {
             if matches!(error, upstream::Error::Broken(_)) {
-                guard.broke(&run, address);
+                guard.check_for_crash(&run, address);
             }
-            return Err(guard.failed(now, &error, in_left, &head.request, &digest));
+            return Err(guard.record_failure(now, &error, time_left, &head.request, &digest));
         }
     };
     guard.observe_load(now, guard.upstream.load(&parts.headers).as_ref());
-    guard.answered(now, slot.id, parts.status, now - handed_at);
+    guard.record_response(now, slot.id, parts.status, now - handed_over_at);
     if !parts.status.is_server_error() && parts.status != StatusCode::TOO_MANY_REQUESTS {
-        guard.clear(head, &digest);
+        guard.report_answer(head, &digest);
     }
     headers::strip_hop_by_hop(&mut parts.headers);
     headers::strip_own(&mut parts.headers);
@@ -80,11 +80,11 @@
 }
 
 impl Guard {
-    /// Looks once more before the point of no return.
+    /// Checks once more that the request may run, immediately before it is sent.
     ///
-    /// Failure: the process is paused between admission and here, or the claim took
-    /// long. Symptom: a request runs after its caller was told that it may not have,
-    /// or on a host that left long ago. The monotonic clock shows the pause.
+    /// Failure: the process is paused between admission and here, or the claim took long. Symptom:
+    /// a request runs after its caller was told that it may not have run, or on a host that left
+    /// long ago. The monotonic clock shows the pause.
     fn check_hand_over(&self, now: Instant, head: &Head) -> Result<SocketAddr, Refusal> {
         let mut state = self.state.lock();
         if now >= head.deadline {
@@ -93,13 +93,13 @@
         if let Some(reason) = state.gate.check_hand_over(now) {
             return Err(state.admission.refusal(now, reason));
         }
-        let names_instance = self
+        let sends_instance = self
             .context
             .settings
             .upstream
             .expected_instance_header
             .is_some();
-        if names_instance && state.instance.current().is_none() {
+        if sends_instance && state.instance.current().is_none() {
             return Err(state.admission.refusal(now, Reason::Unannounced));
         }
         match &state.announcement {
@@ -108,8 +108,9 @@
         }
     }
 
-    /// Turns a peer's request into the upstream's: its path alone, its host, and what a
-    /// deeper call needs to pass on.
+    /// Rewrites a peer's request for the upstream: the URI is reduced to its path, its authority
+    /// becomes the `Host` header, and headers carry what the upstream passes on with calls of its
+    /// own.
     fn prepare(&self, request: &mut Request<Body>, head: &Head, left: Duration) {
         let host = request.uri().authority().map(ToString::to_string);
         if let Some(path) = request.uri().path_and_query().cloned() {
@@ -134,8 +135,8 @@
         traces::inject(fields);
     }
 
-    /// The upstream gave no answer within `waited`: what that proves.
-    fn failed(
+    /// Records that the upstream gave no response within `waited` and returns the matching refusal.
+    fn record_failure(
         &self,
         now: Instant,
         error: &upstream::Error,
@@ -153,13 +154,13 @@
             }
             _ => Some(Verdict::Failed),
         };
-        self.judge(now, verdict);
+        self.record_verdict(now, verdict);
         if self.log.admits(1) {
             log::info!(
                 request = request,
                 fingerprint:% = digest.fingerprint(),
                 error:% = error;
-                "no answer of the upstream"
+                "upstream did not answer"
             );
         }
         match error {
@@ -175,12 +176,12 @@
         }
     }
 
-    /// The upstream said itself that it did not run the request.
+    /// Records that the upstream shed the request without running it.
     ///
-    /// Failure: a faulty upstream sheds part of its requests though it has room. Symptom:
-    /// taken for overload, each such answer lowers the limit until next to nothing runs.
-    /// Where the upstream tells its load, only a full one lowers the limit.
-    fn shed(&self, now: Instant, id: Id, load: Option<&UpstreamLoad>) -> Refusal {
+    /// Failure: a faulty upstream sheds some requests although it has free slots. Symptom: each
+    /// such response is taken for overload and lowers the limit until almost nothing runs. If the
+    /// upstream reports its load, the limit is lowered only when all its slots are taken.
+    fn record_shed(&self, now: Instant, id: Id, load: Option<&UpstreamLoad>) -> Refusal {
         let full = load.is_none_or(|load| load.running + load.waiting >= load.slots);
         let mut state = self.state.lock();
         if full {
@@ -189,26 +190,27 @@
         state.admission.refusal(now, Reason::Shed)
     }
 
-    /// Another instance than the one expected stands at the upstream's address.
-    fn misdirected(&self, now: Instant, found: Option<&Arc<str>>) -> Refusal {
+    /// Handles a response from a different instance than the one expected at the upstream's
+    /// address.
+    fn record_misdirection(&self, now: Instant, found: Option<&Arc<str>>) -> Refusal {
         let mut state = self.state.lock();
         let expected = state.instance.current().cloned();
         if let Some(found) = found {
             state.instance.confirm(now, found);
         }
-        self.restarted(&mut state);
+        self.reset_after_restart(&mut state);
         state.announcement = None;
-        self.unknown_upstream.notify_one();
+        self.discovery_due.notify_one();
         log::warn!(
             expected:? = expected,
             found:? = found;
-            "another instance of the upstream stands at its address"
+            "a different instance answers at the upstream's address"
         );
         state.admission.refusal(now, Reason::Misdirected)
     }
 
-    /// The upstream began to answer, after `took`.
-    fn answered(&self, now: Instant, id: Id, status: StatusCode, took: Duration) {
+    /// Records the upstream's response, whose head arrived after `took`.
+    fn record_response(&self, now: Instant, id: Id, status: StatusCode, took: Duration) {
         let shed = matches!(
             status,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
@@ -217,19 +219,19 @@
         let verdict = {
             let mut state = self.state.lock();
             let mean = state.admission.service_time();
-            let begun = if shed { Answer::Shed } else { Answer::Served };
-            state.admission.record_answer(now, id, begun);
+            let answer = if shed { Answer::Shed } else { Answer::Served };
+            state.admission.record_answer(now, id, answer);
             if refused {
                 state.health.judge_refusal(took, mean)
             } else {
                 Some(Verdict::Answered)
             }
         };
-        self.judge(now, verdict);
+        self.record_verdict(now, verdict);
     }
 
-    /// Takes in what a request showed of the upstream, if anything.
-    fn judge(&self, now: Instant, verdict: Option<Verdict>) {
+    /// Records a request's verdict on the upstream's health, if it has one.
+    fn record_verdict(&self, now: Instant, verdict: Option<Verdict>) {
         let Some(verdict) = verdict else { return };
         let mut state = self.state.lock();
         let was_ready = state.health.is_ready();
--- a/crates/node/src/guard/pace.rs
+++ b/crates/node/src/guard/pace.rs
@@ -1,9 +1,9 @@
-//! How fast the upstream's host is at this moment, asked when it was not told lately.
+//! Polls the upstream for its host's current speed when there is no recent report.
 //!
-//! Work that begins on a slow host is slow to its end, so what was told a phase ago is of no
-//! use. Under load each answer tells it. In quiet times the upstream is asked before a request
-//! begins, on a connection that is open anyway, and within the budget for measuring; without
-//! budget, what is known has to do.
+//! A request that starts on a slow host stays slow until it ends, so a report that is older than
+//! one phase of the host's speed is useless. Under load each response carries a report. With little
+//! traffic, the guard polls the upstream before it starts a request, over a connection that is
+//! already open and within the measuring budget. Without budget, it uses the last report.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,83 +13,83 @@
 use super::Guard;
 use crate::announcement::Announcement;
 
-/// Time for an answer: the upstream answers this at once, a hop on the same host away. It is
-/// the time that a request may lose.
-const ASK_WITHIN: Duration = Duration::from_millis(15);
-/// How often it is asked while requests wait for the end of a slow phase, which lasts some
-/// hundred milliseconds.
-const ASK_EVERY: Duration = Duration::from_millis(40);
+/// Timeout of a poll, and so the longest delay that it adds to a request. The upstream is on the
+/// same host and answers polls at once.
+const POLL_TIMEOUT: Duration = Duration::from_millis(15);
+/// Interval between polls while requests wait for the end of a slow phase, which lasts some hundred
+/// milliseconds.
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// One question at a time; whoever comes meanwhile shares its answer.
+/// Allows one poll at a time; requests that arrive meanwhile share its result.
 #[derive(Default)]
 pub struct Pace {
-    asking: tokio::sync::Mutex<()>,
+    poll: tokio::sync::Mutex<()>,
 }
 
-/// Asks unless it was told lately.
+/// Polls the upstream unless there is a recent report.
 pub async fn refresh(guard: &Guard) {
-    if !guard.upstream.reports_load() || is_known(guard) {
+    if !guard.upstream.reports_load() || has_recent_pace(guard) {
         return;
     }
-    let _asking = guard.pace.asking.lock().await;
-    if !is_known(guard) {
-        ask(guard, ASK_WITHIN).await;
+    let _poll = guard.pace.poll.lock().await;
+    if !has_recent_pace(guard) {
+        poll(guard, POLL_TIMEOUT).await;
     }
 }
 
-/// Asks the upstream for its pace and its warm-up; false without budget, or without an answer of
-/// the present instance.
-pub async fn ask(guard: &Guard, within: Duration) -> bool {
-    let began = Instant::now();
-    let Some((announcement, reservation)) = reserve(guard, began) else {
+/// Polls the upstream for its pace and its warm-up. Returns false without budget or without a
+/// response from the current instance.
+pub async fn poll(guard: &Guard, timeout: Duration) -> bool {
+    let started_at = Instant::now();
+    let Some((announcement, reservation)) = reserve(guard, started_at) else {
         return false;
     };
-    let asked = guard
+    let request = guard
         .upstream
         .ask(announcement.address, &announcement.health_path);
-    let answered = tokio::time::timeout(within, asked).await;
+    let result = tokio::time::timeout(timeout, request).await;
     let now = Instant::now();
     guard
         .state
         .lock()
         .pace_budget
-        .refund(&reservation, now - began);
+        .refund(&reservation, now - started_at);
     guard.context.metrics.pace_asked();
-    match answered {
+    match result {
         Ok(Ok(parts)) => {
             guard.observe_load(now, guard.upstream.load(&parts.headers).as_ref());
-            guard.warm_up_answered(began, now, &parts)
+            guard.record_warm_up(started_at, now, &parts)
         }
         Ok(Err(error)) => {
             log::debug!(error:% = error; "health check failed");
             false
         }
         Err(_) => {
-            log::debug!("health check not answered in time");
+            log::debug!("health check timed out");
             false
         }
     }
 }
 
-/// Asks again and again while requests wait for the end of a slow phase.
-pub async fn while_held(guard: Arc<Guard>) {
+/// Polls the upstream repeatedly while requests wait for the end of a slow phase.
+pub async fn poll_in_slow_phase(guard: Arc<Guard>) {
     loop {
-        let held = guard
+        let is_waiting = guard
             .state
             .lock()
             .admission
             .is_waiting_for_slow_phase(Instant::now());
-        if held {
+        if is_waiting {
             refresh(&guard).await;
             guard.pump();
-            tokio::time::sleep(ASK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         } else {
-            guard.pace_held.notified().await;
+            guard.slow_phase_wait.notified().await;
         }
     }
 }
 
-fn is_known(guard: &Guard) -> bool {
+fn has_recent_pace(guard: &Guard) -> bool {
     guard.state.lock().admission.has_recent_pace(Instant::now())
 }
 
--- a/crates/node/src/guard/probing.rs
+++ b/crates/node/src/guard/probing.rs
@@ -1,4 +1,4 @@
-//! Probes of a doubtful upstream: from one place, one at a time, under one budget.
+//! Probes a doubtful upstream: only its own node sends probes, one at a time and within one budget.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,47 +12,50 @@
 use super::follow::TICK;
 use crate::announcement::Announcement;
 
-/// When to ask a budget again that grants nothing.
-const NO_BUDGET_AGAIN: Duration = Duration::from_secs(1);
+/// Retry delay when the budget grants no probes at all.
+const BUDGET_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Probes a doubtful upstream, from here alone and within the budget.
-pub async fn when_due(guard: Arc<Guard>) {
-    let mut doubts = guard.context.latest.guarded.subscribe();
+/// Sends each probe when it is due and the budget allows it.
+pub async fn run(guard: Arc<Guard>) {
+    let mut guarded = guard.context.latest.guarded.subscribe();
     loop {
         let due = guard.state.lock().health.probe_at();
         match due {
             None => {
-                if doubts.changed().await.is_err() {
+                if guarded.changed().await.is_err() {
                     return;
                 }
             }
             Some(at) if Instant::now() < at => tokio::time::sleep_until(at.into()).await,
-            Some(_) => once(&guard).await,
+            Some(_) => probe_once(&guard).await,
         }
     }
 }
 
-async fn once(guard: &Guard) {
-    let began = Instant::now();
-    let Some((announcement, reservation)) = reserve(guard, began) else {
+async fn probe_once(guard: &Guard) {
+    let started_at = Instant::now();
+    let Some((announcement, reservation)) = reserve(guard, started_at) else {
         return;
     };
     let verdict = probe(guard, &announcement).await;
-    let ended = Instant::now();
+    let ended_at = Instant::now();
     guard.context.metrics.probe(verdict);
     let mut state = guard.state.lock();
-    state.budget.refund(&reservation, ended - began);
-    state.health.record_probe_result(ended, verdict);
+    state
+        .probe_budget
+        .refund(&reservation, ended_at - started_at);
+    state.health.record_probe_result(ended_at, verdict);
 }
 
-/// Takes the cost of one probe out of the budget, or waits for it to be there.
+/// Reserves the cost of one probe from the budget, or postpones the probe until the budget allows
+/// it.
 fn reserve(guard: &Guard, now: Instant) -> Option<(Announcement, Reservation)> {
     let mut state = guard.state.lock();
     let Some(announcement) = state.announcement.clone() else {
         state.health.postpone_probe(now + TICK);
         return None;
     };
-    match state.budget.reserve(now) {
+    match state.probe_budget.reserve(now) {
         Ok(reservation) => {
             state.health.record_probe_sent();
             Some((announcement, reservation))
@@ -60,7 +63,7 @@
         Err(at) => {
             state
                 .health
-                .postpone_probe(at.unwrap_or(now + NO_BUDGET_AGAIN));
+                .postpone_probe(at.unwrap_or(now + BUDGET_RETRY_DELAY));
             None
         }
     }
--- a/crates/node/src/guard/reporting.rs
+++ b/crates/node/src/guard/reporting.rs
@@ -1,4 +1,4 @@
-//! Tells nodes that sent requests lately of each change of load, by datagram.
+//! Sends load changes by datagram to the nodes that recently sent requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::datagram;
 use crate::reports::{self, Datagram};
 
-/// Nodes to tell, and whether there is something to tell.
+/// The recipients of load reports, and a notification that the load has changed.
 #[derive(Default)]
 pub struct Reporting {
     recipients: Mutex<Recipients>,
@@ -21,13 +21,13 @@
 }
 
 impl Reporting {
-    /// A node sent a request and wants to be told.
-    pub fn sent(&self, now: Instant, node: SocketAddr) {
+    /// Records that a node sent a request and gave `node` as the address for load reports.
+    pub fn record_request(&self, now: Instant, node: SocketAddr) {
         self.recipients.lock().record_request(now, node);
     }
 
-    /// The load has changed.
-    pub fn changed(&self) {
+    /// Requests a report, since the load has changed.
+    pub fn notify_change(&self) {
         self.changed.notify_one();
     }
 }
@@ -38,7 +38,10 @@
     let socket = match UdpSocket::bind(address).await {
         Ok(socket) => socket,
         Err(error) => {
-            log::warn!(error:% = error; "load is told with answers only");
+            log::warn!(
+                error:% = error;
+                "cannot open a socket for load reports; load is reported only in responses"
+            );
             return;
         }
     };
@@ -55,7 +58,7 @@
 }
 
 impl Guard {
-    /// What peers are told; nothing until the upstream has announced itself.
+    /// Returns the load report for peers, or `None` until the upstream has announced itself.
     fn datagram(&self) -> Option<Datagram> {
         let now = Instant::now();
         let state = self.state.lock();
--- a/crates/node/src/guard/runs.rs
+++ b/crates/node/src/guard/runs.rs
@@ -1,8 +1,8 @@
-//! Requests in progress in the upstream, and whether the upstream ended under them.
+//! Tracks the requests in progress in the upstream and detects crashes of the upstream.
 //!
-//! A broken connection alone says little: the network resets connections, and an upstream breaks
-//! off single answers. If it takes no new connection either, its process has ended with all that
-//! it had in progress. Silence proves nothing of a request, and neither does a planned stop.
+//! A broken connection alone is no proof: the network resets connections, and an upstream may abort
+//! single responses. If it refuses a new connection as well, its process has ended with all its
+//! requests in progress. A timeout proves nothing about a request, and neither does a planned stop.
 
 use std::collections::HashMap;
 use std::io;
@@ -27,40 +27,40 @@
 use crate::settings::Settings;
 use crate::upstream::Reach;
 
-/// Fingerprints in one line of the log; more requests than that are seldom in progress in one
-/// upstream, and the line tells how many there were.
-const FINGERPRINTS_TOLD: usize = 32;
+/// Maximum number of fingerprints in one log line. More requests than that are seldom in progress
+/// in one upstream, and the line also gives their total number.
+const MAX_LOGGED_FINGERPRINTS: usize = 32;
 
-/// How it is known that the upstream ended.
+/// Evidence that the upstream crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
     /// A connection broke, and no new one was accepted.
     Unreachable,
-    /// It has started again.
-    StartedAgain,
+    /// The upstream has restarted.
+    Restarted,
 }
 
 impl Evidence {
     const fn as_str(self) -> &'static str {
         match self {
             Self::Unreachable => "connection broken and no new one accepted",
-            Self::StartedAgain => "started again",
+            Self::Restarted => "started again",
         }
     }
 }
 
-/// Requests that the upstream works on; those of an end that was told are taken out, so that a
-/// connection of theirs that is found broken later tells of no other end.
+/// Requests in progress in the upstream. Those of a reported crash are removed, so that a
+/// connection of theirs that is found broken later does not count as another crash.
 #[derive(Default)]
 pub struct Runs {
-    open: HashMap<Id, Digest>,
-    /// A new connection is being tried, to find out whether the upstream has ended.
+    in_progress: HashMap<Id, Digest>,
+    /// A new connection is being attempted, to find out whether the upstream has crashed.
     checking: bool,
-    /// An end was told, and the next start has not announced itself.
+    /// A crash was reported, and the upstream has not announced its next start.
     awaits_start: bool,
 }
 
-/// What tells a request from others, while its body may still be passing.
+/// The fingerprint of a request, computed while its body passes.
 #[derive(Clone)]
 pub struct Digest {
     service: Arc<str>,
@@ -69,13 +69,13 @@
 }
 
 impl Digest {
-    /// Begins the fingerprint of a request; its body is digested as it passes.
+    /// Starts the fingerprint of a request and wraps its body, which is digested as it passes.
     pub fn begin(
         settings: &Settings,
         head: &Head,
         request: Request<Body>,
     ) -> (Self, Request<Body>) {
-        let head_digest = head_of(settings, head, &request);
+        let head_digest = digest_head(settings, head, &request);
         let (parts, body) = request.into_parts();
         let declared = if body.is_end_stream() {
             Some(0)
@@ -91,7 +91,7 @@
         let body = if declared == Some(0) {
             body
         } else {
-            Body::new(Digested {
+            Body::new(DigestedBody {
                 body,
                 digest: digest.clone(),
             })
@@ -99,7 +99,7 @@
         (digest, Request::from_parts(parts, body))
     }
 
-    /// As far as it can be told by now.
+    /// Returns the fingerprint as far as the body has been read.
     pub fn fingerprint(&self) -> Fingerprint {
         Fingerprint {
             head: self.head,
@@ -108,20 +108,20 @@
     }
 }
 
-/// Digest of the head of a peer's request.
-fn head_of(settings: &Settings, head: &Head, request: &Request<Body>) -> u64 {
+/// Returns the digest of the head of a peer's request.
+fn digest_head(settings: &Settings, head: &Head, request: &Request<Body>) -> u64 {
     let uri = request.uri();
     let host = uri.authority().map_or("", |host| host.as_str());
     arrival::fingerprint(settings, head, request.method(), host, uri.path_and_query())
 }
 
 /// A body that is digested as it passes.
-struct Digested {
+struct DigestedBody {
     body: Body,
     digest: Digest,
 }
 
-impl HttpBody for Digested {
+impl HttpBody for DigestedBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -153,7 +153,7 @@
     }
 }
 
-/// A request that the upstream works on until this is dropped.
+/// A request in progress in the upstream until this is dropped.
 pub struct Run {
     guard: Arc<Guard>,
     id: Id,
@@ -161,32 +161,32 @@
 
 impl Drop for Run {
     fn drop(&mut self) {
-        self.guard.state.lock().runs.open.remove(&self.id);
+        self.guard.state.lock().runs.in_progress.remove(&self.id);
     }
 }
 
 impl Guard {
-    /// The request that holds this slot is handed over.
-    pub(super) fn run(self: &Arc<Self>, id: Id, digest: Digest) -> Run {
-        self.state.lock().runs.open.insert(id, digest);
+    /// Records that the request with this slot is handed over to the upstream.
+    pub(super) fn begin_run(self: &Arc<Self>, id: Id, digest: Digest) -> Run {
+        self.state.lock().runs.in_progress.insert(id, digest);
         Run {
             guard: Arc::clone(self),
             id,
         }
     }
 
-    /// A connection with a request on it broke: finds out whether the upstream has ended.
+    /// Checks whether the upstream has crashed, after a connection broke with a request on it.
     ///
-    /// All connections break within a moment when it does, and each wakes a request of its own. The
-    /// first of them finds all others still in progress, and one check tells for all.
-    pub(super) fn broke(self: &Arc<Self>, run: &Run, address: SocketAddr) {
+    /// In a crash all connections break almost at once, and each of them wakes its request. The
+    /// first of these finds all others still in progress, so one check covers all of them.
+    pub(super) fn check_for_crash(self: &Arc<Self>, run: &Run, address: SocketAddr) {
         let mut state = self.state.lock();
         let runs = &mut state.runs;
-        if runs.checking || !runs.open.contains_key(&run.id) {
+        if runs.checking || !runs.in_progress.contains_key(&run.id) {
             return;
         }
         runs.checking = true;
-        let in_progress = runs.open.clone();
+        let in_progress = runs.in_progress.clone();
         drop(state);
         let guard = Arc::clone(self);
         tokio::spawn(async move {
@@ -198,47 +198,47 @@
             }
             state
                 .runs
-                .open
+                .in_progress
                 .retain(|id, _| !in_progress.contains_key(id));
             state.runs.awaits_start = true;
             drop(state);
-            guard.ended(&in_progress, Evidence::Unreachable);
+            guard.record_crash(&in_progress, Evidence::Unreachable);
         });
     }
 
-    /// The upstream has started again: what was in progress at the end of the start before.
+    /// Records a crash when the upstream has restarted with requests in progress.
     ///
-    /// Failure: an upstream serves before it announces its start. Symptom: what it got meanwhile
-    /// counts as in progress at an end, and common requests are held back. If the end was told
-    /// before, all that is open came after it.
-    pub(super) fn ended_before_start(&self, state: &mut super::State) {
+    /// Failure: an upstream serves requests before it announces its start. Symptom: requests that
+    /// it received meanwhile count as in progress at a crash, and common requests are quarantined.
+    /// If the crash was already reported, all requests in progress arrived after it.
+    pub(super) fn record_crash_before_restart(&self, state: &mut super::State) {
         if std::mem::take(&mut state.runs.awaits_start) {
             return;
         }
-        let in_progress = std::mem::take(&mut state.runs.open);
+        let in_progress = std::mem::take(&mut state.runs.in_progress);
         if !in_progress.is_empty() && !state.gate.is_leaving() {
-            self.ended(&in_progress, Evidence::StartedAgain);
+            self.record_crash(&in_progress, Evidence::Restarted);
         }
     }
 
-    /// The upstream ended, unplanned, with these requests in progress.
-    fn ended(&self, in_progress: &HashMap<Id, Digest>, evidence: Evidence) {
+    /// Records that the upstream crashed with these requests in progress.
+    fn record_crash(&self, in_progress: &HashMap<Id, Digest>, evidence: Evidence) {
         self.context.metrics.upstream_ended();
         let fingerprints: Vec<Fingerprint> =
             in_progress.values().map(Digest::fingerprint).collect();
-        let told: Vec<String> = fingerprints
+        let logged: Vec<String> = fingerprints
             .iter()
-            .take(FINGERPRINTS_TOLD)
+            .take(MAX_LOGGED_FINGERPRINTS)
             .map(ToString::to_string)
             .collect();
         log::warn!(
             evidence = evidence.as_str(),
             in_progress = fingerprints.len(),
-            fingerprints = told.join(" ");
+            fingerprints = logged.join(" ");
             "upstream ended with requests in progress"
         );
         if let Some(digest) = in_progress.values().next() {
-            self.suspicion(Event::Crashed {
+            self.report_event(Event::Crashed {
                 service: Arc::clone(&digest.service),
                 in_progress: fingerprints,
             });
--- a/crates/node/src/guard/screening.rs
+++ b/crates/node/src/guard/screening.rs
@@ -1,7 +1,7 @@
-//! Holds back requests under which upstreams ended, at the last moment before one is handed over.
+//! Refuses quarantined requests immediately before the handover to the upstream.
 //!
-//! The node beside the upstream has the last word: whichever node a repeat comes through, also one
-//! that has just started or was cut off, nobody else can hand it over.
+//! Only the node beside the upstream can hand a request over. It therefore stops every repeat, also
+//! one from an entry node that has just started or was partitioned and doesn't know the quarantine.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,10 +20,11 @@
 use super::runs::Digest;
 use crate::headers::Head;
 
-/// When a caller is told to come back whose request may be tried, but not here and now.
-const TRIAL_ELSEWHERE_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay in the refusal of a request whose trial is due, but runs elsewhere or is already in
+/// progress.
+const TRIAL_ELSEWHERE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A request that is held back and tried all the same; one at a time until this is dropped.
+/// The trial of a quarantined request. Until this is dropped, no other trial of it starts here.
 pub struct Trial {
     guard: Arc<Guard>,
     fingerprint: Fingerprint,
@@ -35,8 +36,8 @@
     }
 }
 
-/// Lets a request pass unless it is held back.
-pub async fn pass(
+/// Returns the request unless it is quarantined, with its trial if it runs as one.
+pub async fn check(
     guard: &Arc<Guard>,
     head: &Head,
     digest: &Digest,
@@ -56,57 +57,62 @@
         verdict = screen.check(Instant::now(), digest.fingerprint());
     }
     match verdict {
-        // A body that broke off is broken off towards the upstream as well.
+        // `NeedsBody` here means that the body ended with an error, which is passed on to the
+        // upstream.
         Verdict::Pass | Verdict::NeedsBody => Ok((request, None)),
         Verdict::Quarantined(until) => Err(Refusal::not_run(Reason::Quarantined, until)),
         Verdict::Trial => {
-            let trial = guard.try_out(head, digest.fingerprint())?;
+            let trial = guard.begin_trial(head, digest.fingerprint())?;
             Ok((request, Some(trial)))
         }
     }
 }
 
-/// Reads as much of a body as tells whose it is, and puts it back in front of the rest.
+/// Reads as much of the body as the fingerprint needs and puts it back in front of the rest.
 async fn read_ahead(digest: &Digest, request: Request<Body>) -> Request<Body> {
     let (parts, mut body) = request.into_parts();
-    let mut read = Vec::new();
+    let mut frames = Vec::new();
     while digest.fingerprint().body.is_none() {
         let Some(frame) = body.frame().await else {
             break;
         };
         let broken = frame.is_err();
-        read.push(frame);
+        frames.push(frame);
         if broken {
             break;
         }
     }
-    let whole = StreamBody::new(stream::iter(read).chain(BodyStream::new(body)));
+    let whole = StreamBody::new(stream::iter(frames).chain(BodyStream::new(body)));
     Request::from_parts(parts, Body::new(whole))
 }
 
 impl Guard {
-    /// Lets a request through that is held back, if its trial is due and falls to this host.
-    fn try_out(self: &Arc<Self>, head: &Head, fingerprint: Fingerprint) -> Result<Trial, Refusal> {
+    /// Begins the trial of a quarantined request if it falls to this host and none is in progress.
+    fn begin_trial(
+        self: &Arc<Self>,
+        head: &Head,
+        fingerprint: Fingerprint,
+    ) -> Result<Trial, Refusal> {
         let now = Instant::now();
-        let elsewhere = Refusal::not_run(Reason::Quarantined, now + TRIAL_ELSEWHERE_RETRY);
+        let refusal = Refusal::not_run(Reason::Quarantined, now + TRIAL_ELSEWHERE_RETRY_DELAY);
         if !self.is_trial_host(head, fingerprint) {
-            return Err(elsewhere);
+            return Err(refusal);
         }
         if !self.state.lock().trials.insert(fingerprint) {
-            return Err(elsewhere);
+            return Err(refusal);
         }
         let trial = Trial {
             guard: Arc::clone(self),
             fingerprint,
         };
-        // A trial that control does not hear of would be followed by the next at once.
-        if !self.suspicion(Event::Tried(fingerprint)) {
-            return Err(elsewhere);
+        // Without this event, control would allow the next trial at once.
+        if !self.report_event(Event::Tried(fingerprint)) {
+            return Err(refusal);
         }
         log::warn!(
             request = &*head.request,
             fingerprint:% = fingerprint;
-            "request that is held back is tried"
+            "started a trial of a quarantined request"
         );
         Ok(trial)
     }
@@ -122,27 +128,27 @@
         quarantine::trial_host(fingerprint, hosts) == Some(self.context.host())
     }
 
-    /// Tells control what was seen; false if its ring is full.
-    pub(super) fn suspicion(&self, event: Event) -> bool {
+    /// Sends an event to control; returns false if the ring is full.
+    pub(super) fn report_event(&self, event: Event) -> bool {
         let sent = self.context.rings.suspicions.try_send(event).is_ok();
         if !sent {
             self.context.metrics.ring_full("suspicions");
             if self.log.admits(1) {
-                log::warn!("ring to control is full: an end, answer or trial is not told");
+                log::warn!("ring to control is full; dropped a crash, answer or trial event");
             }
         }
         sent
     }
 
-    /// The upstream answered: a request that was suspected is cleared, and one that is answered
-    /// again and again is remembered.
-    pub(super) fn clear(&self, head: &Head, digest: &Digest) {
+    /// Records that the upstream answered a request. Control is notified if the request is a
+    /// suspect, which the answer clears, or if it is common.
+    pub(super) fn report_answer(&self, head: &Head, digest: &Digest) {
         let fingerprint = digest.fingerprint();
-        let times = self.state.lock().answered.record(fingerprint);
-        // Told at each doubling, which bounds the messages and makes up for one that was lost.
-        let is_common = times > 1 && times.is_power_of_two();
+        let answers = self.state.lock().answered.record(fingerprint);
+        // Sent at each doubling, which bounds the number of events and makes up for a lost one.
+        let is_common = answers > 1 && answers.is_power_of_two();
         if is_common || self.context.screen().is_suspect(fingerprint) {
-            self.suspicion(Event::Answered {
+            self.report_event(Event::Answered {
                 service: Arc::clone(&head.service),
                 fingerprint,
             });
--- a/crates/node/src/guard/slot.rs
+++ b/crates/node/src/guard/slot.rs
@@ -1,4 +1,4 @@
-//! Waiting for a slot of the upstream, holding it, and giving it back.
+//! Acquires and releases slots of the upstream.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -11,31 +11,32 @@
 use super::{Guard, pace};
 use crate::headers::Head;
 
-/// A slot of the upstream, given back when dropped.
+/// A slot of the upstream, released on drop.
 pub struct Slot {
     guard: Arc<Guard>,
-    /// The request that holds it.
+    /// The request that has acquired the slot.
     pub id: Id,
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
         self.guard.state.lock().admission.finish(self.id);
-        self.guard.reporting.changed();
+        self.guard.reporting.notify_change();
         self.guard.pump();
     }
 }
 
-/// A place in the queue, given up when its caller goes away.
-struct Place {
+/// A queued request. It is cancelled if this is dropped before admission has decided, as when the
+/// caller disconnects.
+struct QueueEntry {
     guard: Arc<Guard>,
     id: Id,
-    settled: bool,
+    decided: bool,
 }
 
-impl Drop for Place {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
-        if self.settled {
+        if self.decided {
             return;
         }
         let mut state = self.guard.state.lock();
@@ -47,38 +48,38 @@
     }
 }
 
-/// What admission said at once.
-enum Entered {
+/// The immediate result of asking admission for a slot.
+enum SlotRequest {
     Admitted(Slot),
-    Queued(Place, oneshot::Receiver<Result<(), Refusal>>),
+    Queued(QueueEntry, oneshot::Receiver<Result<(), Refusal>>),
 }
 
-/// Waits for a slot.
+/// Acquires a slot, waiting in the queue if necessary.
 pub async fn admit(guard: &Arc<Guard>, head: &Head) -> Result<Slot, Refusal> {
     pace::refresh(guard).await;
-    let (mut place, admitted) = match enter(guard, head)? {
-        Entered::Admitted(slot) => return Ok(slot),
-        Entered::Queued(place, admitted) => (place, admitted),
+    let (mut queue_entry, decision) = match request_slot(guard, head)? {
+        SlotRequest::Admitted(slot) => return Ok(slot),
+        SlotRequest::Queued(queue_entry, decision) => (queue_entry, decision),
     };
     guard.pump();
     guard.queued.notify_one();
-    guard.pace_held.notify_one();
-    let Ok(settled) = admitted.await else {
+    guard.slow_phase_wait.notify_one();
+    let Ok(result) = decision.await else {
         return Err(guard.not_run(Reason::Busy));
     };
-    place.settled = true;
-    settled?;
+    queue_entry.decided = true;
+    result?;
     Ok(Slot {
         guard: Arc::clone(guard),
-        id: place.id,
+        id: queue_entry.id,
     })
 }
 
-fn enter(guard: &Arc<Guard>, head: &Head) -> Result<Entered, Refusal> {
+fn request_slot(guard: &Arc<Guard>, head: &Head) -> Result<SlotRequest, Refusal> {
     let now = Instant::now();
     let weight = guard.context.in_force().preset.weight(&head.client_account);
     let mut state = guard.state.lock();
-    if let Some(reason) = state.closed(now, &head.service) {
+    if let Some(reason) = state.refusal_reason(now, &head.service) {
         return Err(state.admission.refusal(now, reason));
     }
     let id = Id(state.next_id);
@@ -93,22 +94,22 @@
         only_in_time: head.only_in_time,
     };
     let guard = Arc::clone(guard);
-    guard.reporting.changed();
+    guard.reporting.notify_change();
     let decision = state.admission.arrive(now, arrival, weight);
-    guard.check_warm_up(&state, now);
+    guard.notify_if_warm_up_due(&state, now);
     match decision {
-        Decision::Admit => Ok(Entered::Admitted(Slot { guard, id })),
+        Decision::Admit => Ok(SlotRequest::Admitted(Slot { guard, id })),
         Decision::Refuse(refusal) => Err(refusal),
         Decision::Queue => {
-            let (sender, admitted) = oneshot::channel();
+            let (sender, receiver) = oneshot::channel();
             state.waiters.insert(id, sender);
             drop(state);
-            let place = Place {
+            let queue_entry = QueueEntry {
                 guard,
                 id,
-                settled: false,
+                decided: false,
             };
-            Ok(Entered::Queued(place, admitted))
+            Ok(SlotRequest::Queued(queue_entry, receiver))
         }
     }
 }
--- a/crates/node/src/guard/warm_up.rs
+++ b/crates/node/src/guard/warm_up.rs
@@ -1,4 +1,4 @@
-//! Asks the upstream how much longer it stays cold, whenever that has to be known.
+//! Polls the upstream for its remaining cold time whenever admission needs it.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -7,17 +7,17 @@
 
 use super::{Guard, State, pace};
 
-/// Time for an answer; until it comes the bound on unconfirmed starts holds.
-const ASK_WITHIN: Duration = Duration::from_millis(150);
-/// Pause after a question that brought nothing.
-const AGAIN_AFTER: Duration = Duration::from_millis(50);
+/// Timeout of a poll. Until the response arrives, the limit on unconfirmed starts applies.
+const POLL_TIMEOUT: Duration = Duration::from_millis(150);
+/// Delay before the next attempt after a poll that failed.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Asks when it is due.
-pub async fn when_due(guard: Arc<Guard>) {
+/// Polls the upstream when a warm-up check is due.
+pub async fn run(guard: Arc<Guard>) {
     loop {
         if is_due(&guard) {
-            if !pace::ask(&guard, ASK_WITHIN).await {
-                tokio::time::sleep(AGAIN_AFTER).await;
+            if !pace::poll(&guard, POLL_TIMEOUT).await {
+                tokio::time::sleep(RETRY_DELAY).await;
             }
             guard.pump();
         } else {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Follows the rate that the routing table names for the upstream's service.
+/// Applies the cold request rate that the routing table gives for the upstream's service.
 pub async fn follow_rate(guard: Arc<Guard>) {
     let mut routes = guard.context.latest.routes.subscribe();
     loop {
@@ -51,16 +51,17 @@
 }
 
 impl Guard {
-    /// Wakes the task that asks, if a question is due.
-    pub(super) fn check_warm_up(&self, state: &State, now: Instant) {
+    /// Wakes the polling task if a warm-up check is due.
+    pub(super) fn notify_if_warm_up_due(&self, state: &State, now: Instant) {
         if state.admission.warm_up().is_check_due(now) {
             self.warm_up_due.notify_one();
         }
     }
 
-    /// Takes what a health check of `asked_at` says of the warm-up; false if it is of another
-    /// instance than the present one. One without the header is of an upstream that is warm.
-    pub(super) fn warm_up_answered(&self, asked_at: Instant, now: Instant, parts: &Parts) -> bool {
+    /// Records the remaining cold time from the response to a health check that was sent at
+    /// `sent_at`. Returns false if it comes from an instance other than the current one. A response
+    /// without the header comes from a warm upstream.
+    pub(super) fn record_warm_up(&self, sent_at: Instant, now: Instant, parts: &Parts) -> bool {
         let mut state = self.state.lock();
         let instance = self.upstream.instance(&parts.headers);
         if instance.as_ref() != state.instance.current() {
@@ -69,14 +70,14 @@
         let cold_for = self.upstream.cold_for(&parts.headers).unwrap_or_default();
         let was_cold = state.admission.warm_up().is_cold(now);
         let warm_up = state.admission.warm_up_mut();
-        warm_up.record_check(asked_at, now, cold_for);
+        warm_up.record_check(sent_at, now, cold_for);
         let is_cold = warm_up.is_cold(now);
         drop(state);
         if is_cold && !was_cold {
             log::info!(cold_ms:% = cold_for.as_millis(); "upstream is cold");
         }
         if is_cold != was_cold {
-            self.reporting.changed();
+            self.reporting.notify_change();
         }
         true
     }
