--- a/crates/node/tests/crashes.rs
+++ b/crates/node/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! A request ends each upstream that begins to run it, and its caller sends it again and again.
+//! A request crashes each upstream that starts it, and its caller repeats it.
 
 mod common;
 
@@ -16,16 +16,16 @@
 use mintridge_standin::upstream::{BYTES, CRASHES};
 use rstest::rstest;
 
-/// How long the caller goes on.
-const SENT_FOR: Duration = Duration::from_secs(12);
-/// It does not wait for an answer before it asks another node.
-const REPEATED_EVERY: Duration = Duration::from_millis(80);
-/// By then every node that can be reached has to know.
-const NEWS_SPREAD_WITHIN: Duration = Duration::from_secs(3);
-/// By then what is held back is in the store, if that answers.
-const WRITTEN_WITHIN: Duration = Duration::from_secs(3);
-/// Generous limit on any wait for a condition.
-const WAIT_MOST: Duration = Duration::from_secs(30);
+/// How long the load runs and the caller repeats its request.
+const LOAD_DURATION: Duration = Duration::from_secs(12);
+/// Pause between two repeats; the caller doesn't wait for a response before it tries another node.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(80);
+/// Time for every reachable node to learn of a crash.
+const SPREAD_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time for the quarantine to be written to the store, if the store is available.
+const STORE_WRITE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Limit on any wait for a condition, generous for busy machines.
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
 fn crashing(id: &str) -> Call {
     Call {
@@ -34,18 +34,17 @@
     }
 }
 
-/// Lines of a node's log that say this.
+/// Returns the lines of a node's log that contain `message`.
 fn lines(scene: &Scene, index: usize, message: &str) -> Vec<String> {
     let logs = scene.process(index).logs();
     let found = logs.into_iter().filter(|line| line.contains(message));
     found.collect()
 }
 
-/// An upstream crashes while it works on three requests. The log of the node beside it names all
-/// three by what repeats of them share, so that the same request is found under the next upstream
-/// that ends.
+/// An upstream crashes with three requests in progress. Its node logs the fingerprints of all
+/// three, which repeats share, so that operators find the same request in the next crash as well.
 #[tokio::test]
-async fn end_of_an_upstream_is_told_with_all_that_it_had_in_progress() {
+async fn crash_is_logged_with_all_requests_in_progress() {
     let scene = processes_and_entry(1).await;
     scene.crash_on(Some(CRASHES));
     scene.behave(0, |behaviour| behaviour.service_micros = 500_000);
@@ -54,23 +53,27 @@
         path: path.to_owned(),
         ..within(20_000, get(path))
     });
-    let asked = calls.map(|call| {
+    let calls = calls.map(|call| {
         let caller = scene.caller.clone();
         tokio::spawn(async move { caller.call(entry, &call).await.told })
     });
-    for call in asked {
+    for call in calls {
         assert!(call.await.expect("the caller lives").is_unknown());
     }
-    let told = || lines(&scene, 0, "upstream ended with requests in progress");
-    wait_for("it is told", || !told().is_empty()).await;
-    let told = told();
-    assert_eq!(told.len(), 1, "{told:?}");
-    assert!(told[0].contains(r#""in_progress":3"#), "{told:?}");
-    let ends = scene.counter(0, "mintridge_upstream_ends_total").await;
-    assert!((ends - 1.0).abs() < f64::EPSILON, "{ends}");
+    let crash_lines = || lines(&scene, 0, "upstream ended with requests in progress");
+    wait_for("the crash is logged", || !crash_lines().is_empty()).await;
+    let crash_lines = crash_lines();
+    assert_eq!(crash_lines.len(), 1, "{crash_lines:?}");
+    assert!(
+        crash_lines[0].contains(r#""in_progress":3"#),
+        "{crash_lines:?}"
+    );
+    let crashes = scene.counter(0, "mintridge_upstream_ends_total").await;
+    assert!((crashes - 1.0).abs() < f64::EPSILON, "{crashes}");
 }
 
-/// Guards against blaming requests that an upstream got after its end, before it announced its next start.
+/// An upstream crashes, restarts and receives requests before it announces the restart. These
+/// requests must not count as in progress at the crash.
 #[tokio::test]
 async fn end_of_an_upstream_is_told_without_what_its_next_start_got() {
     let scene = processes(hosts(1)).await;
@@ -81,24 +84,24 @@
         behaviour.unannounced_millis = 500;
     });
     scene.call(0, &crashing("ends")).await;
-    let ends = || lines(&scene, 0, "upstream ended with requests in progress").len();
-    wait_for("the end is told", || ends() == 1).await;
+    let logged_crashes = || lines(&scene, 0, "upstream ended with requests in progress").len();
+    wait_for("the crash is logged", || logged_crashes() == 1).await;
     scene.behave(0, |behaviour| behaviour.service_micros = 2_000_000);
-    let give_up_at = Instant::now() + WAIT_MOST;
+    let give_up_at = Instant::now() + MAX_WAIT;
     while scene.runs("after") == 0 {
-        assert!(Instant::now() < give_up_at, "it never ran");
+        assert!(Instant::now() < give_up_at, "the request never ran");
         scene.call(0, &within(1_500, get("after"))).await;
     }
     wait_for("the start is announced", || {
         lines(&scene, 0, "upstream announced itself").len() == 2
     })
     .await;
-    assert_eq!(ends(), 1);
+    assert_eq!(logged_crashes(), 1);
 }
 
-/// An upstream breaks answers off and goes on: nothing says that it ended.
+/// An upstream aborts responses but keeps running: no crash is logged.
 #[tokio::test]
-async fn broken_answer_of_an_upstream_that_lives_is_no_end() {
+async fn aborted_response_of_a_running_upstream_is_no_crash() {
     let scene = processes(hosts(1)).await;
     common::all_behave(&scene, mintridge_standin::upstream::Manner::BreakAnswers);
     let broken = Call {
@@ -111,50 +114,46 @@
     assert!(lines(&scene, 0, "upstream ended").is_empty());
 }
 
-/// A caller sends a request that ends each upstream that begins to run it, and sends it again and
-/// again, through any node and under a new id each time. Nothing remembered what was in progress
-/// when an upstream ended, so each repeat was placed like a request never seen before, and
-/// upstreams that had just come back ended again under it. All six upstreams ended within a tenth
-/// of a second, and 68 times in twelve seconds.
-///
-/// What settled it were 68 lines `upstream ended with requests in progress`. One fingerprint stands
-/// in all of them, from every host. Another one, of a common request that others sent meanwhile,
-/// stands in 17, and load does not: most lines tell of one request in progress.
+/// A request crashes each upstream that starts it, and its caller repeats it through any node, with
+/// a new id each time. Without a quarantine each repeat is placed like a new request: all six
+/// upstreams crash within 0.1 s, and 68 times in 12 s. The fingerprint of the request is in all 68
+/// log lines, from every host, and that of a common request in 17. Load is not the cause, as most
+/// lines report one request in progress.
 ///
-/// Once three upstreams have ended under it and the news has had time to spread, at most three
-/// more repeats may reach an upstream. Where each is down for longer, no node sees three ends of its
-/// own before the others have to know.
+/// Once three upstreams have crashed and the crashes have had time to spread, at most three more
+/// repeats may reach an upstream. With the longer downtime no node sees three crashes of its own
+/// before the others have to know of them.
 #[rstest]
-#[case::back_soon(1_000)]
-#[case::back_late(3_000)]
+#[case::short_downtime(1_000)]
+#[case::long_downtime(3_000)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn request_that_ended_three_upstreams_reaches_few_more(#[case] down_millis: u64) {
+async fn request_that_crashed_three_upstreams_reaches_few_more(#[case] down_millis: u64) {
     let scene = processes(hosts(6)).await;
     scene.crash_on(Some(CRASHES));
     for index in 0..6 {
         scene.behave(index, |behaviour| behaviour.down_millis = down_millis);
     }
-    let others = mixed_load(&scene, 60.0, SENT_FOR.as_secs_f64());
+    let others = mixed_load(&scene, 60.0, LOAD_DURATION.as_secs_f64());
     let others = tokio::spawn(async move {
         let mut account = Account::default();
         account.run(&others).await;
         account
     });
     let began_at = Instant::now();
-    let mut third_end_at = None;
+    let mut third_crash_at = None;
     let mut late = Vec::new();
-    let mut repeats = tokio::time::interval(REPEATED_EVERY);
+    let mut repeats = tokio::time::interval(REPEAT_INTERVAL);
     for n in 0.. {
         repeats.tick().await;
         let now = Instant::now();
-        if now > began_at + SENT_FOR {
+        if now > began_at + LOAD_DURATION {
             break;
         }
         if scene.crashes() >= 3 {
-            third_end_at.get_or_insert(now);
+            third_crash_at.get_or_insert(now);
         }
         let id = format!("repeat-{n}");
-        if third_end_at.is_some_and(|at| now > at + NEWS_SPREAD_WITHIN) {
+        if third_crash_at.is_some_and(|at| now > at + SPREAD_TIMEOUT) {
             late.push(id.clone());
         }
         let caller = scene.caller.clone();
@@ -163,24 +162,32 @@
     }
     let account = others.await.expect("the load ends");
     account.check(&scene);
-    assert!(third_end_at.is_some(), "no three upstreams ended");
+    assert!(
+        third_crash_at.is_some(),
+        "fewer than three upstreams crashed"
+    );
     let reached: u32 = late.iter().map(|id| scene.runs(id)).sum();
     assert!(
         reached <= 3,
-        "{reached} of {} late repeats reached an upstream, {} ended in all",
+        "{reached} of {} late repeats reached an upstream, {} crashes in total",
         late.len(),
         scene.crashes()
     );
 }
 
-/// Sends a request through the nodes of these hosts in turn until it is held back on all of them.
-async fn until_held_back(scene: &Scene, entries: &[usize], call: &Call) {
-    let give_up_at = Instant::now() + WAIT_MOST;
+/// Sends a request through the nodes of these hosts in turn until all of them refuse it as
+/// quarantined.
+async fn send_until_quarantined(scene: &Scene, entries: &[usize], call: &Call) {
+    let give_up_at = Instant::now() + MAX_WAIT;
     let mut refused = 0;
     for n in 0.. {
-        assert!(Instant::now() < give_up_at, "never held back");
-        let told = scene.call(entries[n % entries.len()], call).await;
-        refused = if is_held_back(&told) { refused + 1 } else { 0 };
+        assert!(Instant::now() < give_up_at, "never quarantined");
+        let result = scene.call(entries[n % entries.len()], call).await;
+        refused = if is_quarantined(&result) {
+            refused + 1
+        } else {
+            0
+        };
         if refused >= entries.len() {
             return;
         }
@@ -188,9 +195,9 @@
     }
 }
 
-fn is_held_back(told: &Told) -> bool {
+fn is_quarantined(result: &Told) -> bool {
     matches!(
-        told,
+        result,
         Told::Refused {
             reason: Reason::Quarantined,
             outcome: Outcome::NotRun,
@@ -199,26 +206,26 @@
     )
 }
 
-/// A request with a body, which may not be repeated, ends upstreams. Once it is held back its
-/// caller is told that it did not run and when to come back. The same path with another body, and
-/// from another client account, is served.
+/// A request with a body, which is not idempotent, crashes upstreams. Once it is quarantined, the
+/// refusal says that it did not run and when to retry. The same path with another body, or from
+/// another client account, is served.
 #[rstest]
 #[case::short(14)]
-#[case::longer_than_is_digested(40_000)]
+#[case::longer_than_the_digest(40_000)]
 #[tokio::test]
 async fn request_with_another_body_or_account_is_served(#[case] length: usize) {
     let scene = processes(hosts(3)).await;
     scene.crash_on(Some(CRASHES));
-    let ends_upstreams = Call {
+    let crashing_call = Call {
         path: String::from(CRASHES),
         body: Bytes::from(vec![b'x'; length]),
         ..bare_post("held")
     };
-    until_held_back(&scene, &[0, 1, 2], &ends_upstreams).await;
+    send_until_quarantined(&scene, &[0, 1, 2], &crashing_call).await;
     let crashes = scene.crashes();
-    let told = scene.call(0, &ends_upstreams).await;
-    assert!(is_held_back(&told), "{told:?}");
-    let Told::Refused { retry_after, .. } = told else {
+    let result = scene.call(0, &crashing_call).await;
+    assert!(is_quarantined(&result), "{result:?}");
+    let Told::Refused { retry_after, .. } = result else {
         panic!("not refused");
     };
     assert!(retry_after.is_some_and(|seconds| seconds >= 1));
@@ -226,41 +233,41 @@
     let others = [
         Call {
             body: Bytes::from(vec![b'y'; length]),
-            ..ends_upstreams.clone()
+            ..crashing_call.clone()
         },
         Call {
             client_account: String::from("other"),
-            ..ends_upstreams.clone()
+            ..crashing_call.clone()
         },
     ];
     for other in others {
-        served_soon(&scene, 0, &other).await;
+        send_until_served(&scene, 0, &other).await;
     }
-    assert!(is_held_back(&scene.call(1, &ends_upstreams).await));
+    assert!(is_quarantined(&scene.call(1, &crashing_call).await));
     assert_eq!(scene.crashes(), crashes);
 }
 
-/// Asks until upstreams that ended are back and trusted.
-async fn served_soon(scene: &Scene, entry: usize, call: &Call) {
-    let give_up_at = Instant::now() + WAIT_MOST;
+/// Repeats a request until it is served, as crashed upstreams need time to become healthy again.
+async fn send_until_served(scene: &Scene, entry: usize, call: &Call) {
+    let give_up_at = Instant::now() + MAX_WAIT;
     loop {
-        let told = scene.call(entry, call).await;
-        if told.is_success() {
+        let result = scene.call(entry, call).await;
+        if result.is_success() {
             return;
         }
-        assert!(!is_held_back(&told), "{told:?}");
-        assert!(Instant::now() < give_up_at, "never served: {told:?}");
+        assert!(!is_quarantined(&result), "{result:?}");
+        assert!(Instant::now() < give_up_at, "never served: {result:?}");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// A node starts again, with an empty memory, after a request was held back, and a node joins that
-/// was never there. Callers of either are refused as those of all others.
+/// A node restarts without state after a request was quarantined, and a new node joins. Both refuse
+/// the request as all other nodes do.
 #[tokio::test]
-async fn node_that_starts_holds_back_what_the_others_do() {
+async fn started_node_quarantines_what_the_others_do() {
     let mut scene = processes(hosts(3)).await;
     scene.crash_on(Some(CRASHES));
-    until_held_back(&scene, &[0, 1, 2], &crashing("held")).await;
+    send_until_quarantined(&scene, &[0, 1, 2], &crashing("held")).await;
     scene.kill(0).await;
     scene.start_node(0).expect("it starts");
     add_entry(&mut scene).await;
@@ -268,15 +275,15 @@
     let crashes = scene.crashes();
     for entry in [0, 3] {
         for n in 0..10 {
-            let told = scene.call(entry, &crashing(&format!("late-{n}"))).await;
-            assert!(told.is_not_run(), "{told:?}");
+            let result = scene.call(entry, &crashing(&format!("late-{n}"))).await;
+            assert!(result.is_not_run(), "{result:?}");
         }
     }
     assert_eq!(scene.crashes(), crashes);
 }
 
-/// The upstreams are mended while the request is held back. Its trial comes, one upstream answers
-/// it, and from then on it is served through all nodes.
+/// The upstreams are fixed while a request is quarantined. One upstream answers its trial, and from
+/// then on it is served through all nodes.
 #[tokio::test]
 async fn request_is_served_again_once_its_trial_is_answered() {
     let adjust = |settings: &mut Settings| {
@@ -284,10 +291,10 @@
     };
     let scene = processes(Plan { adjust, ..hosts(3) }).await;
     scene.crash_on(Some(CRASHES));
-    until_held_back(&scene, &[0, 1, 2], &crashing("held")).await;
+    send_until_quarantined(&scene, &[0, 1, 2], &crashing("held")).await;
     scene.crash_on(None);
     for entry in 0..3 {
-        let give_up_at = Instant::now() + WAIT_MOST;
+        let give_up_at = Instant::now() + MAX_WAIT;
         while !scene.call(entry, &crashing("mended")).await.is_success() {
             assert!(Instant::now() < give_up_at, "never tried");
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -295,16 +302,16 @@
     }
 }
 
-/// Trials come due while callers repeat the request through every node: one upstream ends under
-/// each, not one for each node.
+/// Trials become due while callers repeat the request through every node: each trial crashes one
+/// upstream, not one per node.
 #[tokio::test]
-async fn trial_ends_one_upstream_at_most() {
+async fn trial_crashes_one_upstream_at_most() {
     let adjust = |settings: &mut Settings| {
         settings.quarantine.trial_after = Duration::from_secs(2);
     };
     let scene = processes(Plan { adjust, ..hosts(4) }).await;
     scene.crash_on(Some(CRASHES));
-    until_held_back(&scene, &[0, 1, 2, 3], &crashing("held")).await;
+    send_until_quarantined(&scene, &[0, 1, 2, 3], &crashing("held")).await;
     let crashes = scene.crashes();
     let until = Instant::now() + Duration::from_secs(6);
     for n in 0.. {
@@ -319,8 +326,8 @@
     assert_eq!(scene.crashes(), crashes + 1);
 }
 
-/// The upstreams of a service are lost together with a request in progress that everybody sends,
-/// none of them by its fault. It is served as soon as an upstream is back.
+/// All upstreams of a service crash with a common request in progress that causes none of the
+/// crashes. The common request must be served as soon as an upstream is back.
 #[tokio::test]
 async fn common_request_is_served_after_a_loss_of_all_upstreams() {
     let scene = processes(hosts(4)).await;
@@ -348,14 +355,14 @@
     account.all_succeeded();
 }
 
-/// All nodes lose power at once while a request is held back, and none is left that knows. Its
-/// caller goes on, and no upstream may end under it again: what is held back lasts in the store.
+/// All nodes lose power at once while a request is quarantined, so that none has it in memory. No
+/// upstream may crash by its repeats again, since the quarantine is kept in the store.
 #[tokio::test]
-async fn hold_outlives_a_loss_of_all_nodes() {
+async fn quarantine_survives_a_loss_of_all_nodes() {
     let mut scene = processes(hosts(3)).await;
     scene.crash_on(Some(CRASHES));
-    until_held_back(&scene, &[0, 1, 2], &crashing("held")).await;
-    tokio::time::sleep(WRITTEN_WITHIN).await;
+    send_until_quarantined(&scene, &[0, 1, 2], &crashing("held")).await;
+    tokio::time::sleep(STORE_WRITE_TIMEOUT).await;
     let crashes = scene.crashes();
     for index in 0..3 {
         scene.kill(index).await;
@@ -365,8 +372,8 @@
     }
     scene.until_joined().await;
     for n in 0..30 {
-        let told = scene.call(n % 3, &crashing(&format!("after-{n}"))).await;
-        assert!(told.is_not_run(), "{told:?}");
+        let result = scene.call(n % 3, &crashing(&format!("after-{n}"))).await;
+        assert!(result.is_not_run(), "{result:?}");
     }
     assert_eq!(scene.crashes(), crashes);
 }
--- a/crates/node/tests/drill.rs
+++ b/crates/node/tests/drill.rs
@@ -1,5 +1,5 @@
-//! The store comes back from a copy some seconds old: what was written since is gone, and
-//! revisions and leases are given out again.
+//! The store is restored from a copy that is some seconds old: later writes are lost, and revisions
+//! and lease ids are assigned again.
 
 mod common;
 
@@ -13,12 +13,12 @@
 use rustix::process::Signal;
 use tokio::time::Instant;
 
-/// A change that was accepted is in force everywhere within this.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(5);
-/// Entries are back this long after the store's return.
-const BACK_WITHIN: Duration = Duration::from_secs(2);
+/// Time within which an accepted change must be in force on every node.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time within which the nodes must have rewritten their entries after the store is restored.
+const RESTORE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An operator puts a preset in force, and every node shows it.
+/// Puts a preset in force and waits until every node reports it.
 async fn put_in_force(scene: &Scene, retry_share: f64, mark: &str) -> InForce {
     let put = scene.put_in_force(preset(retry_share), mark).await;
     let in_force = put.expect("accepted");
@@ -33,9 +33,9 @@
     .await;
 }
 
-/// An operator puts a preset in force, and the store comes back from before that. No node ever
-/// shows the older one, and a node that starts while the store holds it learns the newer one from
-/// its peers.
+/// The store is restored from a copy older than the preset in force. No node may ever report the
+/// older preset, and a node that starts while the store holds it must learn the newer one from its
+/// peers.
 #[tokio::test]
 async fn change_accepted_before_the_loss_stays_in_force() {
     let mut scene = processes(hosts(4)).await;
@@ -43,14 +43,14 @@
     scene.store.take_copy();
     let second = put_in_force(&scene, 0.2, "second").await;
     scene.kill(3).await;
-    let never = Drill {
+    let drill = Drill {
         operators_repeat_after: Duration::from_secs(8),
         ..Drill::default()
     };
-    scene.store.drill(never).await;
+    scene.store.drill(drill).await;
     scene.start_node(3).expect("starts");
-    let looked_until = Instant::now() + IN_FORCE_WITHIN;
-    while Instant::now() < looked_until {
+    let check_until = Instant::now() + IN_FORCE_TIMEOUT;
+    while Instant::now() < check_until {
         for index in 0..3 {
             let Some(status) = scene.status(index).await else {
                 continue;
@@ -64,8 +64,8 @@
     assert_eq!(status.view.in_force.revision, second.revision);
 }
 
-/// Right after the store's return an operator changes the preset. The store gives that change a
-/// revision that nodes have seen before, and it is in force everywhere in time all the same.
+/// An operator changes the preset right after the store is restored. The store assigns the change a
+/// revision that nodes have already seen, and it must be in force everywhere in time nevertheless.
 #[tokio::test]
 async fn change_after_the_return_is_in_force() {
     let scene = processes(hosts(3)).await;
@@ -82,12 +82,11 @@
         .expect("accepted");
     let accepted_at = Instant::now();
     until_revision(&scene, second.revision.0).await;
-    assert!(accepted_at.elapsed() < IN_FORCE_WITHIN);
+    assert!(accepted_at.elapsed() < IN_FORCE_TIMEOUT);
 }
 
-/// The store comes back from a copy that was taken before any node had written its entry. Who
-/// starts next looks for others there: the entries are back two seconds later, and again after a
-/// second loss.
+/// The store is restored from a copy without the nodes' entries. Starting nodes look for peers
+/// there, so the entries must be back within two seconds, also after a second loss.
 #[tokio::test]
 async fn entries_are_back_after_the_return() {
     let scene = processes(hosts(3)).await;
@@ -97,16 +96,16 @@
         scene.store.take_copy();
         until_entries(&scene, 3).await;
         scene.store.drill(Drill::default()).await;
-        let returned_at = Instant::now();
+        let restored_at = Instant::now();
         until_entries(&scene, 3).await;
-        let took = returned_at.elapsed();
-        assert!(took < BACK_WITHIN, "loss {loss}: after {took:?}");
+        let took = restored_at.elapsed();
+        assert!(took < RESTORE_TIMEOUT, "loss {loss}: after {took:?}");
     }
 }
 
-/// A request with an idempotency key runs, its caller loses the answer, and the store loses the
-/// claim. The caller repeats it through another node: it must not run again, and whoever cannot
-/// know says that it may have run.
+/// A request with an idempotency key runs, its caller loses the response, and the store loses the
+/// claim. A repeat through another node must not run again; the node can't know the result and
+/// answers that the request may have run.
 #[tokio::test]
 async fn repeat_of_a_claim_that_was_lost_runs_once() {
     let scene = processes(hosts(3)).await;
@@ -114,14 +113,14 @@
     scene.store.take_copy();
     assert!(scene.call(0, &post("first", "key")).await.is_success());
     scene.store.drill(Drill::default()).await;
-    let told = scene.call(1, &post("second", "key")).await;
-    assert_eq!(runs(&scene, &["first", "second"]), 1, "{told:?}");
-    assert!(told.is_unknown(), "{told:?}");
+    let result = scene.call(1, &post("second", "key")).await;
+    assert_eq!(runs(&scene, &["first", "second"]), 1, "{result:?}");
+    assert!(result.is_unknown(), "{result:?}");
 }
 
-/// A node is paused before the store loses its newest seconds, and wakes after its return. It still
-/// believes in its entry and in the preset of before; within seconds its entry is back, and it
-/// shows nothing older than it did.
+/// A node is paused before the store loses its latest writes and resumes after the store is
+/// restored. Its state is from before the loss. Within seconds it must rewrite its entry, and it
+/// must not report an older preset than before.
 #[tokio::test]
 async fn node_that_was_paused_over_the_return_catches_up() {
     let scene = processes(hosts(3)).await;
@@ -133,17 +132,16 @@
     scene.process(2).signal(Signal::STOP).expect("paused");
     scene.store.drill(Drill::default()).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    scene.process(2).signal(Signal::CONT).expect("woken");
+    scene.process(2).signal(Signal::CONT).expect("resumed");
     until_entries(&scene, 3).await;
     let status = scene.status(2).await.expect("it runs");
     assert!(status.view.in_force.revision >= second.revision);
 }
 
-/// All nodes lose power while the store is away, and it comes back with an older preset. The
-/// fleet that starts knows no better until the operator writes the newer one again; from then on
-/// every node shows it.
+/// All nodes lose power, and the store is restored with an older preset. The restarted nodes can't
+/// know the newer one until the operator writes it again; from then on every node must report it.
 #[tokio::test]
-async fn loss_of_all_nodes_during_the_drill_ends_with_what_was_repeated() {
+async fn loss_of_all_nodes_during_the_drill_ends_with_the_repeated_preset() {
     let mut scene = processes(hosts(3)).await;
     put_in_force(&scene, 0.1, "first").await;
     scene.store.take_copy();
@@ -162,10 +160,10 @@
     until_revision(&scene, second.revision.0).await;
 }
 
-/// The store loses its newest seconds twice, some seconds apart, and a node is stopped and started
-/// in between. Callers are served all the while, and nothing falls back.
+/// The store loses its latest writes twice, some seconds apart, and a node is restarted after each
+/// loss. Callers must be served throughout, and no node may return to an older preset.
 #[tokio::test]
-async fn two_losses_beside_a_restart_keep_the_preset_and_the_callers() {
+async fn two_losses_with_restarts_keep_the_preset_and_serve_callers() {
     let mut scene = processes(hosts(3)).await;
     let mut newest = put_in_force(&scene, 0.1, "first").await;
     for loss in 0..2_u32 {
@@ -177,8 +175,8 @@
         scene.store.drill(Drill::default()).await;
         scene.stop(2).await;
         for n in 0..20 {
-            let told = scene.call(n % 2, &get(&format!("during-{loss}-{n}"))).await;
-            assert!(told.is_success(), "{told:?}");
+            let result = scene.call(n % 2, &get(&format!("during-{loss}-{n}"))).await;
+            assert!(result.is_success(), "{result:?}");
         }
         scene.start_node(2).expect("starts");
         scene.until_joined().await;
--- a/crates/node/tests/leaving.rs
+++ b/crates/node/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! A leaving host gets nothing new after a few seconds; a planned stop cuts nothing.
+//! A leaving host gets no new requests after a few seconds, and a planned stop cuts none.
 
 mod common;
 
@@ -16,8 +16,8 @@
 use rstest::rstest;
 use rustix::process::Signal;
 
-/// How long after the announcement a host may still get new requests.
-const FEW_SECONDS: Duration = Duration::from_secs(3);
+/// Time after the announcement within which a leaving host may still get new requests.
+const LEAVING_TIMEOUT: Duration = Duration::from_secs(3);
 
 fn leaving(host: &str) -> Preset {
     Preset {
@@ -30,8 +30,8 @@
     scene.hosts[index].upstream.account().requests
 }
 
-/// Under load one node gets SIGTERM, and callers that speak to the others and to it see
-/// every request answered. Callers of the stopped node go elsewhere once it closes.
+/// One node gets SIGTERM under load. All requests must be answered; callers of the stopped node use
+/// another one once it closes.
 #[tokio::test]
 async fn stop_of_a_node_cuts_no_request() {
     let mut scene = processes(hosts(3)).await;
@@ -49,26 +49,29 @@
     account.all_succeeded();
 }
 
-/// The only host of a service stops its node as planned. While callers of that node still
-/// learn that they should go elsewhere, callers of another node are served by the upstream
-/// as before; it is missing only while nothing can pass to it.
+/// The node of a service's only host is stopped. While its own callers are still being asked to
+/// reconnect elsewhere, callers of another node must be served by the upstream as before. It is
+/// unavailable only while nothing can reach it.
 #[tokio::test]
 async fn stop_serves_the_upstream_while_callers_leave() {
     let scene = processes_and_entry(1).await;
-    scene.process(0).signal(Signal::TERM).expect("told to stop");
+    scene
+        .process(0)
+        .signal(Signal::TERM)
+        .expect("the signal is sent");
     let stopping = |status: Status| status.stopping;
     while !scene.status(0).await.is_some_and(stopping) {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    let told = scene.call(1, &get("while-leaving")).await;
-    assert!(told.is_success(), "{told:?}");
+    let result = scene.call(1, &get("while-leaving")).await;
+    assert!(result.is_success(), "{result:?}");
     assert_eq!(scene.runs("while-leaving"), 1);
 }
 
-/// The node that a caller speaks to gets SIGTERM while the caller's request runs: the
-/// caller gets its answer, whole.
+/// An entry node gets SIGTERM while a caller's request runs: the caller must get the whole
+/// response.
 #[tokio::test]
-async fn stop_of_the_entry_finishes_what_it_has() {
+async fn stop_of_the_entry_node_finishes_requests_in_progress() {
     let mut scene = processes(hosts(2)).await;
     for index in 0..2 {
         scene.behave(index, |behaviour| behaviour.service_micros = 2_500_000);
@@ -82,18 +85,18 @@
     assert!(long.await.expect("the caller lives").is_success());
 }
 
-/// A caller keeps one connection to a node and asks again and again while that node gets
-/// SIGTERM: every answer is whole, and one of them says that the connection closes, so
-/// that the caller goes elsewhere before the listener is gone.
+/// A caller sends requests on one connection to a node that gets SIGTERM. Every response must be
+/// whole, and one must carry `Connection: close`, so that the caller reconnects elsewhere before
+/// the listener is closed.
 #[tokio::test]
-async fn stop_tells_callers_to_go_before_it_closes() {
+async fn stop_sends_connection_close_before_it_closes() {
     let mut scene = processes(hosts(2)).await;
     let entry = scene.addresses(0).callers;
     let caller = scene.caller.clone();
-    let asking = tokio::spawn(async move {
+    let sending = tokio::spawn(async move {
         loop {
             let answer = caller.send(entry, &get("again"), &[]).await;
-            let answer = answer.expect("an answer until told to go");
+            let answer = answer.expect("a response until the connection closes");
             assert!(answer.status().is_success(), "{}", answer.status());
             if answer.headers().contains_key("connection") {
                 return;
@@ -103,11 +106,13 @@
     });
     tokio::time::sleep(Duration::from_millis(200)).await;
     scene.stop(0).await;
-    asking.await.expect("told to go");
+    sending
+        .await
+        .expect("the node asks the caller to reconnect");
 }
 
-/// An upstream announces that it drains, under load: nobody sees a failure, and after a
-/// few seconds it gets nothing new.
+/// An upstream announces under load that it drains. No request may fail, and after a few seconds it
+/// gets no new ones.
 #[tokio::test]
 async fn drain_of_an_upstream_cuts_no_request() {
     let scene = processes(hosts(3)).await;
@@ -119,7 +124,7 @@
     });
     tokio::time::sleep(Duration::from_secs(1)).await;
     scene.announce(0, State::Draining);
-    tokio::time::sleep(FEW_SECONDS).await;
+    tokio::time::sleep(LEAVING_TIMEOUT).await;
     let before = requests(&scene, 0);
     let account = sending.await.expect("the load ends");
     assert_eq!(requests(&scene, 0), before, "new requests after leaving");
@@ -127,10 +132,10 @@
     account.all_succeeded();
 }
 
-/// The preset in force names a host as leaving: it finishes what it has, gets nothing
-/// new, and serves again when a later preset no longer names it.
+/// The preset in force names a host as leaving: the host finishes its requests, gets no new ones,
+/// and serves again once a later preset no longer names it.
 #[tokio::test]
-async fn preset_takes_a_host_out_and_back() {
+async fn preset_drains_a_host_and_restores_it() {
     let scene = processes(hosts(3)).await;
     scene
         .put_in_force(leaving("service-1"), "out")
@@ -171,19 +176,19 @@
     assert!(requests(&scene, 0) > before);
 }
 
-/// A host's node is frozen while a preset takes the host out, and wakes with requests
-/// already waiting in its sockets: its upstream gets none of them. They are refused as not
-/// run there and run elsewhere. The short pause is shorter than an announcement lasts, so
-/// nothing but the pause itself can tell the node; the long one outlasts every lease.
+/// A node is paused while a preset drains its host, and resumes with requests already waiting in
+/// its sockets. Its upstream must get none of them: they are refused as not run and run elsewhere.
+/// The short pause is shorter than an announcement's lifetime, so the node can detect it only by
+/// the pause itself; the long one outlasts every lease.
 #[rstest]
 #[case::short(Duration::from_millis(1_700))]
 #[case::long(Duration::from_secs(12))]
 #[tokio::test]
-async fn frozen_node_that_missed_the_preset_runs_nothing_on_waking(#[case] pause: Duration) {
+async fn paused_node_that_missed_the_preset_runs_nothing_on_resume(#[case] pause: Duration) {
     let scene = processes(hosts(3)).await;
     let before = requests(&scene, 0);
-    let frozen_at = Instant::now();
-    scene.process(0).signal(Signal::STOP).expect("frozen");
+    let paused_at = Instant::now();
+    scene.process(0).signal(Signal::STOP).expect("paused");
     scene
         .put_in_force(leaving("service-1"), "out")
         .await
@@ -198,11 +203,11 @@
             tokio::spawn(async move { caller.call(entry, &call).await.told })
         })
         .collect();
-    tokio::time::sleep(pause.saturating_sub(frozen_at.elapsed())).await;
-    scene.process(0).signal(Signal::CONT).expect("woken");
-    for told in waiting {
-        let told = told.await.expect("the caller lives");
-        assert!(told.is_success() || told.is_not_run(), "{told:?}");
+    tokio::time::sleep(pause.saturating_sub(paused_at.elapsed())).await;
+    scene.process(0).signal(Signal::CONT).expect("resumed");
+    for call in waiting {
+        let result = call.await.expect("the caller lives");
+        assert!(result.is_success() || result.is_not_run(), "{result:?}");
     }
     scene.until_of(&[0], "in force", in_force).await;
     assert_eq!(
@@ -212,21 +217,22 @@
     );
 }
 
-/// A node that is cut off from peers and store still believes what it knew: it goes on
-/// sending to a host that left. The guard there refuses as not run, the request goes to
-/// another host, and its caller notices nothing.
+/// A node that is partitioned from peers and store has an outdated view and keeps sending requests
+/// to a host that left. The guard there must refuse them as not run, and they run on another host
+/// without an error for the caller.
 ///
-/// A node hears of others also when it tells them of its own upstream, which may be found
-/// only after the host drains: it tells nobody, and the one link by which it joined is cut.
+/// A node also receives updates in the replies when it pushes its own upstream, which may be
+/// discovered only after the host drains. Pushes are therefore disabled, and the only link over
+/// which the node joined is cut.
 #[tokio::test]
-async fn entry_that_was_cut_off_sends_to_a_leaving_host_in_vain() {
+async fn requests_of_a_partitioned_entry_to_a_leaving_host_are_refused() {
     let mut scene = processes(hosts(2)).await;
-    let (listener, joins_through) = loopback().await.expect("a free port");
+    let (listener, relay_address) = loopback().await.expect("a free port");
     let relay = Arc::new(Relay::default());
     tokio::spawn(Arc::clone(&relay).run(listener, scene.addresses(0).control));
     scene
         .add_with("deaf", "other", "zone-a", <_>::default(), |settings| {
-            settings.peers = vec![joins_through];
+            settings.peers = vec![relay_address];
             settings.membership.period = Duration::from_hours(1);
             settings.membership.answer_within = Duration::from_secs(20);
             settings.control.connections_most = 0;
@@ -252,8 +258,8 @@
         .await;
     let before = requests(&scene, 0);
     for n in 0..20 {
-        let told = scene.call(2, &get(&format!("id-{n}"))).await;
-        assert!(told.is_success(), "{told:?}");
+        let result = scene.call(2, &get(&format!("id-{n}"))).await;
+        assert!(result.is_success(), "{result:?}");
     }
     let refused = scene
         .counter(
@@ -261,11 +267,14 @@
             "mintridge_guard_refusals_total{outcome=\"not-run\",reason=\"leaving\"}",
         )
         .await;
-    assert!(refused >= 1.0, "the deaf entry did try");
+    assert!(
+        refused >= 1.0,
+        "the partitioned entry sent no request there"
+    );
     assert_eq!(requests(&scene, 0), before);
 }
 
-/// The store is out and a host drains: its own node refuses, and the others learn of it
+/// A host drains while the store is down: its own node refuses requests, and the others learn of it
 /// from their peers.
 #[tokio::test]
 async fn drain_needs_no_store() {
--- a/crates/node/tests/measuring.rs
+++ b/crates/node/tests/measuring.rs
@@ -1,4 +1,4 @@
-//! Measuring load never costs more than its budget.
+//! Measuring the upstreams' load never costs more than its budget.
 
 mod common;
 
@@ -10,16 +10,16 @@
 use mintridge_standin::upstream::Manner;
 use rstest::rstest;
 
-/// The first probe of a node, which settles a first doubt at once.
-const FIRST: Duration = Duration::from_millis(25);
+/// Upstream time of a node's first probe, for which its budget has enough from the start.
+const FIRST_PROBE_COST: Duration = Duration::from_millis(25);
 
 fn probes(scene: &Scene) -> u64 {
     let accounts = scene.hosts.iter().map(|host| host.upstream.account());
     accounts.map(|account| account.probes).sum()
 }
 
-/// What the upstreams see: at rest and under steady traffic no probe at all; load is
-/// counted where it passes.
+/// Without traffic and under steady traffic the upstreams must receive no probes, as nodes count
+/// load from the requests themselves.
 #[tokio::test]
 async fn steady_traffic_costs_no_probe() {
     let scene = processes(hosts(3)).await;
@@ -30,12 +30,12 @@
     assert_eq!(probes(&scene), 0);
 }
 
-/// All upstreams refuse at once and their probes hang: the upstream time spent stays
-/// under the share granted by the preset, beside the first probe of each node.
+/// All upstreams fail fast and their probes hang: apart from the first probe of each node, probes
+/// must use no more of the upstreams' time than the share granted by the preset.
 #[tokio::test]
-async fn hanging_probes_of_all_stay_in_the_budget() {
+async fn hanging_probes_of_all_upstreams_stay_in_the_budget() {
     let scene = processes(hosts(3)).await;
-    let began = Instant::now();
+    let started_at = Instant::now();
     for index in 0..3 {
         scene.behave(index, |behaviour| behaviour.hang_probes = true);
     }
@@ -44,23 +44,24 @@
         scene.call(n % 3, &get(&format!("id-{n}"))).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert!(probes(&scene) > 3, "the doubt is looked into");
+    assert!(probes(&scene) > 3, "doubtful upstreams are probed");
     let share = Preset::default().probe_share;
     for index in 0..3 {
         let status = scene.status(index).await.expect("it answers");
         let spent = Duration::from_micros(status.guarded.probe_micros);
-        let allowed = FIRST + began.elapsed().mul_f64(share) + Duration::from_millis(1);
+        let allowed =
+            FIRST_PROBE_COST + started_at.elapsed().mul_f64(share) + Duration::from_millis(1);
         assert!(spent <= allowed, "{spent:?} of {allowed:?}");
     }
 }
 
-/// Callers that allow too little time, or ask for what fails slowly, end their own
-/// requests; the upstream stays trusted, and others are served without a gap.
+/// Requests fail because their callers set too short a timeout or because they fail slowly. The
+/// upstream must not become doubtful, so that other callers are served without interruption.
 #[rstest]
 #[case::impatient(Manner::Serve, 50_000, 10)]
 #[case::slow_failure(Manner::FailSlowly, 20_000, 5_000)]
 #[tokio::test]
-async fn failures_of_one_caller_make_no_doubt(
+async fn failures_of_one_caller_make_no_upstream_doubtful(
     #[case] manner: Manner,
     #[case] service_micros: u64,
     #[case] allowed_millis: u64,
@@ -72,16 +73,20 @@
     });
     for n in 0..10 {
         let call = within(allowed_millis, bare_post(&format!("failing-{n}")));
-        let told = scene.call(0, &call).await;
-        assert!(!told.is_success() && !told.is_not_run(), "{told:?}");
+        let result = scene.call(0, &call).await;
+        assert!(!result.is_success() && !result.is_not_run(), "{result:?}");
     }
-    assert_eq!(probes(&scene), 0, "no doubt, no probe");
+    assert_eq!(
+        probes(&scene),
+        0,
+        "the upstream is not doubtful and not probed"
+    );
 }
 
-/// Upstreams that failed answer again: probes find out, within the budget, and callers
-/// are served again without a restart.
+/// Failed upstreams recover: probes within the budget must detect it, so that callers are served
+/// again without a restart.
 #[tokio::test]
-async fn doubt_ends_by_itself() {
+async fn doubtful_upstreams_recover_without_a_restart() {
     let scene = processes(hosts(2)).await;
     all_behave(&scene, Manner::FailFast);
     for n in 0..20 {
@@ -90,8 +95,8 @@
     scene
         .until("all are doubtful", |status| status.guarded.doubtful)
         .await;
-    let told = scene.call(0, &get("refused")).await;
-    assert!(told.is_not_run(), "{told:?}");
+    let result = scene.call(0, &get("refused")).await;
+    assert!(result.is_not_run(), "{result:?}");
     all_behave(&scene, Manner::Serve);
     scene
         .until("none is doubtful", |status| !status.guarded.doubtful)
--- a/crates/node/tests/pace.rs
+++ b/crates/node/tests/pace.rs
@@ -1,4 +1,4 @@
-//! A node asks its upstream how fast its host is before it begins work there.
+//! A node polls its upstream for the speed of its host before it starts a request there.
 
 mod common;
 
@@ -14,37 +14,37 @@
 use mintridge_node::node::{self, Node};
 use mintridge_node::settings::Settings;
 
-const WAIT_MOST: Duration = Duration::from_secs(30);
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// An upstream that tells its slowness with each answer.
+/// State of an upstream that reports its slowness in each response.
 #[derive(Default)]
-struct Told {
+struct UpstreamState {
     /// Slowness in percent.
     percent: AtomicU32,
-    /// Questions after the pace.
-    asked: AtomicUsize,
-    /// Callers' requests begun.
-    begun: AtomicUsize,
+    /// Pace polls received.
+    polls: AtomicUsize,
+    /// Callers' requests started.
+    requests: AtomicUsize,
 }
 
-fn upstream(told: &Arc<Told>) -> SocketAddr {
-    let told = Arc::clone(told);
-    answering(move |stream| answer(stream, &told))
+fn upstream(state: &Arc<UpstreamState>) -> SocketAddr {
+    let state = Arc::clone(state);
+    answering(move |stream| serve(stream, &state))
 }
 
-/// Answers requests without a body until the connection ends.
-fn answer(mut stream: TcpStream, told: &Told) {
+/// Answers requests without a body until the connection is closed.
+fn serve(mut stream: TcpStream, state: &UpstreamState) {
     let mut buffer = [0; 4096];
     while let Ok(read) = stream.read(&mut buffer) {
         if read == 0 {
             return;
         }
         if buffer.starts_with(b"GET /health ") {
-            told.asked.fetch_add(1, Ordering::SeqCst);
+            state.polls.fetch_add(1, Ordering::SeqCst);
         } else {
-            told.begun.fetch_add(1, Ordering::SeqCst);
+            state.requests.fetch_add(1, Ordering::SeqCst);
         }
-        let percent = told.percent.load(Ordering::SeqCst);
+        let percent = state.percent.load(Ordering::SeqCst);
         let head = format!(
             "HTTP/1.1 200 OK\r\nx-instance: i-7\r\ncontent-length: 2\r\n\
              x-load: {{\"slots\":9,\"slowness_percent\":{percent}}}\r\n\r\nok"
@@ -55,8 +55,8 @@
     }
 }
 
-/// A node beside this upstream, once it has found it. A slow phase is expected to last so
-/// long that what is seen does not depend on how busy the machine of the test is.
+/// Starts a node beside the upstream and waits until it has discovered it. The expected length of a
+/// slow phase is so long that the result doesn't depend on how busy the test machine is.
 fn start(address: SocketAddr) -> Node {
     let mut settings = Settings::default();
     settings.callers.origin = String::from("service");
@@ -68,31 +68,34 @@
     settings.admission.pace_fresh = Duration::from_millis(1);
     settings.probe.timeout = Duration::from_secs(1);
     let node = node::start(settings, Adapter::default()).expect("it starts");
-    let found = || {
-        let known = !node.context().latest.seen.borrow().is_empty();
-        known && node.context().latest.guarded.borrow().closed.is_none()
+    let is_discovered = || {
+        let has_peers = !node.context().latest.seen.borrow().is_empty();
+        has_peers && node.context().latest.guarded.borrow().closed.is_none()
     };
-    until("the upstream is found", found);
+    wait_until("the upstream is discovered", is_discovered);
     node
 }
 
-fn until(what: &str, holds: impl Fn() -> bool) {
-    let give_up_at = Instant::now() + WAIT_MOST;
-    while !holds() {
-        assert!(Instant::now() < give_up_at, "never came true: {what}");
+fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let give_up_at = Instant::now() + MAX_WAIT;
+    while !condition() {
+        assert!(
+            Instant::now() < give_up_at,
+            "timed out waiting until {what}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A quiet time: the upstream was last heard long ago, and meanwhile its host has turned four
-/// times slower. A request comes that can go nowhere else. It does not begin there, where it
-/// would be slow to its end: it waits, the upstream is asked again, and the request begins
-/// when the host is told fast. Its caller sees one answer, later by the rest of the phase.
+/// The upstream's last report is old, and its host has become four times slower since. A request
+/// arrives that can run nowhere else, and would stay slow until its end if it started now. It must
+/// wait while the node polls the upstream, and start when the host is reported as fast again. The
+/// caller gets one response, delayed by the rest of the slow phase.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_begins_when_the_slow_phase_ends() {
-    let told = Arc::new(Told::default());
-    told.percent.store(400, Ordering::SeqCst);
-    let node = start(upstream(&told));
+    let state = Arc::new(UpstreamState::default());
+    state.percent.store(400, Ordering::SeqCst);
+    let node = start(upstream(&state));
     let address = node.context().addresses.callers;
     let call = tokio::spawn(async move {
         let call = Call {
@@ -101,16 +104,16 @@
         };
         Caller::default().call(address, &call).await.told
     });
-    let found = told.asked.load(Ordering::SeqCst);
+    let initial_polls = state.polls.load(Ordering::SeqCst);
     let waits = || {
         let queued = node.context().latest.guarded.borrow().load.queued;
-        queued == 1 && told.asked.load(Ordering::SeqCst) > found
+        queued == 1 && state.polls.load(Ordering::SeqCst) > initial_polls
     };
-    tokio::task::block_in_place(|| until("the request waits", waits));
-    assert_eq!(told.begun.load(Ordering::SeqCst), 0);
-    told.percent.store(100, Ordering::SeqCst);
-    let answered = call.await.expect("the call ends");
-    assert!(answered.is_success(), "{answered:?}");
-    assert_eq!(told.begun.load(Ordering::SeqCst), 1);
+    tokio::task::block_in_place(|| wait_until("the request waits", waits));
+    assert_eq!(state.requests.load(Ordering::SeqCst), 0);
+    state.percent.store(100, Ordering::SeqCst);
+    let result = call.await.expect("the call ends");
+    assert!(result.is_success(), "{result:?}");
+    assert_eq!(state.requests.load(Ordering::SeqCst), 1);
     node.end();
 }
--- a/crates/node/tests/warm_up.rs
+++ b/crates/node/tests/warm_up.rs
@@ -1,4 +1,4 @@
-//! A node bounds what starts in its upstream while that is cold.
+//! A node limits the rate at which requests start in its upstream while the upstream is cold.
 
 mod common;
 
@@ -14,18 +14,18 @@
 use mintridge_node::settings::Settings;
 use parking_lot::Mutex;
 
-const WAIT_MOST: Duration = Duration::from_secs(30);
-/// Requests a second that the upstream bears while it is cold.
+const MAX_WAIT: Duration = Duration::from_secs(30);
+/// Requests per second that the cold upstream can serve.
 const RATE: f64 = 16.0;
-/// More requests than this in any second end it.
-const BORNE: usize = 32;
+/// More requests than this within any second would crash the cold upstream.
+const MAX_REQUESTS_PER_SECOND: usize = 32;
 const CALLERS: usize = 12;
 
-/// An upstream that turns cold and counts what it gets meanwhile.
+/// An upstream that turns cold and records the requests that it gets while cold.
 struct Upstream {
     cold_until: Mutex<Instant>,
-    /// When requests arrived while it was cold.
-    arrived_cold: Mutex<Vec<Instant>>,
+    /// Arrival times of the requests while the upstream was cold.
+    arrivals_while_cold: Mutex<Vec<Instant>>,
 }
 
 impl Upstream {
@@ -34,7 +34,7 @@
         answering(move |stream| upstream.answer(stream))
     }
 
-    /// Answers requests without a body until the connection ends.
+    /// Answers requests without a body until the connection is closed.
     fn answer(&self, mut stream: TcpStream) {
         let mut buffer = [0; 4096];
         while let Ok(read) = stream.read(&mut buffer) {
@@ -45,7 +45,7 @@
             let cold_for = self.cold_until.lock().saturating_duration_since(now);
             if !buffer.starts_with(b"GET /health ") {
                 if !cold_for.is_zero() {
-                    self.arrived_cold.lock().push(now);
+                    self.arrivals_while_cold.lock().push(now);
                 }
                 std::thread::sleep(Duration::from_millis(5));
             }
@@ -60,14 +60,14 @@
         }
     }
 
-    /// Most requests in any second while it was cold.
+    /// Returns the maximum number of requests within any second while the upstream was cold.
     fn busiest_second(&self) -> usize {
-        let arrived = self.arrived_cold.lock();
+        let arrivals = self.arrivals_while_cold.lock();
         let within = |(i, at): (usize, &Instant)| {
             let end = *at + Duration::from_secs(1);
-            arrived.partition_point(|other| *other < end) - i
+            arrivals.partition_point(|other| *other < end) - i
         };
-        arrived.iter().enumerate().map(within).max().unwrap_or(0)
+        arrivals.iter().enumerate().map(within).max().unwrap_or(0)
     }
 }
 
@@ -79,19 +79,23 @@
     settings.upstream.load_header = Some("x-load".to_owned());
     settings.upstream.cold_header = Some("x-cold".to_owned());
     settings.warm_up.requests_per_second = Some(RATE);
-    settings.gate.announcement_lapses = WAIT_MOST;
+    settings.gate.announcement_lapses = MAX_WAIT;
     let node = node::start(settings, Adapter::default()).expect("it starts");
-    let give_up_at = Instant::now() + WAIT_MOST;
+    let give_up_at = Instant::now() + MAX_WAIT;
     while node.context().latest.seen.borrow().is_empty()
         || node.context().latest.guarded.borrow().closed.is_some()
     {
-        assert!(Instant::now() < give_up_at, "the upstream is never found");
+        assert!(
+            Instant::now() < give_up_at,
+            "the upstream is never discovered"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
     node
 }
 
-/// Callers who ask again as soon as they are answered, until `until`; returns how many were served.
+/// Runs callers that send requests one after the other until `until`; returns how many requests
+/// were served.
 async fn load(node: &Node, until: Instant) -> usize {
     let address = node.context().addresses.callers;
     let callers = (0..CALLERS).map(|_| {
@@ -119,13 +123,13 @@
     served
 }
 
-/// Guards against an upstream that turns cold under full load, without a word, getting more than it
-/// bears.
+/// An upstream turns cold under full load without announcing it. It must not get more requests than
+/// it can serve.
 #[tokio::test(flavor = "multi_thread")]
 async fn starts_are_bounded_when_the_upstream_turns_cold() {
     let upstream = Arc::new(Upstream {
         cold_until: Mutex::new(Instant::now()),
-        arrived_cold: Mutex::default(),
+        arrivals_while_cold: Mutex::default(),
     });
     let node = start(upstream.start());
     let turned = Arc::clone(&upstream);
@@ -139,7 +143,10 @@
     let served = load(&node, Instant::now() + Duration::from_secs(7)).await;
     turning.await.expect("it turned cold twice");
     let busiest = upstream.busiest_second();
-    assert!(busiest <= BORNE, "{busiest} requests in a second");
+    assert!(
+        busiest <= MAX_REQUESTS_PER_SECOND,
+        "{busiest} requests in a second"
+    );
     assert!(
         served > 300,
         "{served} served in three warm seconds and four cold ones"
@@ -147,12 +154,13 @@
     node.end();
 }
 
-/// Guards against a node that is back within a second taking its upstream for one that got nothing.
+/// A node restarts within a second beside a cold upstream. It must not assume that the upstream has
+/// received no requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn starts_are_bounded_over_a_restart_of_the_node() {
     let upstream = Arc::new(Upstream {
         cold_until: Mutex::new(Instant::now() + Duration::from_secs(20)),
-        arrived_cold: Mutex::default(),
+        arrivals_while_cold: Mutex::default(),
     });
     let address = upstream.start();
     for millis in [300, 150, 800] {
@@ -163,5 +171,8 @@
             .expect("the node ends");
     }
     let busiest = upstream.busiest_second();
-    assert!(busiest <= BORNE, "{busiest} requests in a second");
+    assert!(
+        busiest <= MAX_REQUESTS_PER_SECOND,
+        "{busiest} requests in a second"
+    );
 }
