--- a/crates/http/src/counted.rs
+++ b/crates/http/src/counted.rs
@@ -5,9 +5,9 @@
 
 /// Guard that increments a counter when created and decrements it when dropped.
 #[derive(Debug)]
-pub struct Counted(Arc<AtomicUsize>);
+pub struct CountGuard(Arc<AtomicUsize>);
 
-impl Counted {
+impl CountGuard {
     /// Increments `open` until the guard is dropped.
     #[must_use]
     pub fn new(open: Arc<AtomicUsize>) -> Self {
@@ -16,7 +16,7 @@
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/http/src/handler.rs
+++ b/crates/http/src/handler.rs
@@ -11,17 +11,17 @@
 use crate::Body;
 
 /// Future that a handler function returns.
-pub type Answer = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
 
 /// Handler that passes a shared context and the request to a function.
 pub struct Function<C> {
     context: Arc<C>,
-    run: fn(Arc<C>, Request<Body>) -> Answer,
+    run: fn(Arc<C>, Request<Body>) -> ResponseFuture,
 }
 
 impl<C> Function<C> {
     /// Creates a handler from a context and a function.
-    pub const fn new(context: Arc<C>, run: fn(Arc<C>, Request<Body>) -> Answer) -> Self {
+    pub const fn new(context: Arc<C>, run: fn(Arc<C>, Request<Body>) -> ResponseFuture) -> Self {
         Self { context, run }
     }
 }
--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -13,7 +13,7 @@
 
 /// Error when reading a small body.
 #[derive(Debug, thiserror::Error)]
-pub enum BadBody {
+pub enum BodyError {
     /// The body ended early or exceeds the size limit.
     #[error("body broke off or is larger than {max_bytes} bytes")]
     Incomplete {
@@ -64,7 +64,7 @@
 ///
 /// # Errors
 /// Returns an error if the body ends early, is too large, or is not the expected JSON.
-pub async fn read_json<T, B>(body: B, max_bytes: usize) -> Result<T, BadBody>
+pub async fn read_json<T, B>(body: B, max_bytes: usize) -> Result<T, BodyError>
 where
     T: DeserializeOwned,
     B: hyper::body::Body<Data = Bytes>,
@@ -77,7 +77,7 @@
 ///
 /// # Errors
 /// Returns an error if the body ends early or is too large.
-pub async fn read_all<B>(body: B, max_bytes: usize) -> Result<Bytes, BadBody>
+pub async fn read_all<B>(body: B, max_bytes: usize) -> Result<Bytes, BodyError>
 where
     B: hyper::body::Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -85,7 +85,7 @@
     let collected = Limited::new(body, max_bytes)
         .collect()
         .await
-        .map_err(|_| BadBody::Incomplete { max_bytes })?;
+        .map_err(|_| BodyError::Incomplete { max_bytes })?;
     Ok(collected.to_bytes())
 }
 
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -19,7 +19,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-use crate::counted::Counted;
+use crate::counted::CountGuard;
 use crate::{Body, pipeline};
 
 /// Protocol spoken on a listener.
@@ -44,7 +44,7 @@
     /// Maximum number of fields in a request's header section.
     pub header_fields: usize,
     /// Maximum time for a request's header section to arrive.
-    pub header_within: Duration,
+    pub header_timeout: Duration,
     /// Maximum bytes of a request body received before the handler reads it (HTTP/2 only).
     pub window: u32,
     /// Maximum number of concurrent requests of a connection (HTTP/2 only).
@@ -64,7 +64,7 @@
             connections: 4096,
             header_bytes: 32 * 1024,
             header_fields: 100,
-            header_within: Duration::from_secs(5),
+            header_timeout: Duration::from_secs(5),
             window: WINDOW_BYTES,
             streams: 1024,
         }
@@ -88,9 +88,9 @@
 
 /// Result of a listener's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct Shutdown {
     /// Number of connections with a request in progress that were aborted.
-    pub cut: usize,
+    pub aborted_connections: usize,
 }
 
 /// Serves until the phase is [`Phase::Closing`] and the requests in progress have finished or
@@ -101,7 +101,7 @@
     protocol: Protocol,
     limits: Limits,
     mut phase: watch::Receiver<Phase>,
-) -> Ended
+) -> Shutdown
 where
     H: NewHandler + 'static,
 {
@@ -140,12 +140,14 @@
         all_ended.recv().await;
     };
     let shutdown = tokio::time::timeout_at(give_up_at.into(), all_finished).await;
-    let cut = if shutdown.is_ok() {
+    let aborted_connections = if shutdown.is_ok() {
         0
     } else {
         open.load(Ordering::Relaxed)
     };
-    Ended { cut }
+    Shutdown {
+        aborted_connections,
+    }
 }
 
 /// Serves the connections that a listener accepts.
@@ -170,7 +172,7 @@
         let connection = Connection {
             stream,
             peer,
-            open_guard: Counted::new(Arc::clone(&self.open)),
+            open_guard: CountGuard::new(Arc::clone(&self.open)),
         };
         let handler = Arc::clone(&self.handler);
         let Protocol::Pipelined(max_in_progress) = self.protocol else {
@@ -237,7 +239,7 @@
 struct Connection {
     stream: TcpStream,
     peer: SocketAddr,
-    open_guard: Counted,
+    open_guard: CountGuard,
 }
 
 async fn serve_pipelined<H>(
@@ -255,12 +257,12 @@
     }
     let respond = move |request| handle(Arc::clone(&handler), request, peer);
     let builder = http1(limits);
-    let header_within = limits.header_within;
+    let header_timeout = limits.header_timeout;
     pipeline::serve(
         connection.stream,
         &builder,
         max_in_progress,
-        header_within,
+        header_timeout,
         phase,
         respond,
     )
@@ -314,7 +316,7 @@
     let mut builder = hyper::server::conn::http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.header_within)
+        .header_read_timeout(limits.header_timeout)
         .max_headers(limits.header_fields)
         .max_buf_size(limits.header_bytes.max(8192));
     builder
--- a/crates/http/src/socket.rs
+++ b/crates/http/src/socket.rs
@@ -11,9 +11,9 @@
 
 /// Shared handle of a socket; at most one owner may read and one may write.
 #[derive(Clone, Debug)]
-pub struct Shared(pub Arc<TcpStream>);
+pub struct SharedStream(pub Arc<TcpStream>);
 
-impl AsyncRead for Shared {
+impl AsyncRead for SharedStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -25,7 +25,7 @@
     }
 }
 
-impl AsyncWrite for Shared {
+impl AsyncWrite for SharedStream {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/http/tests/broken_stream.rs
+++ b/crates/http/tests/broken_stream.rs
@@ -9,7 +9,7 @@
 use hyper::client::conn::http2;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::{TokioExecutor, TokioIo};
-use mintridge_http::handler::{Answer, Function};
+use mintridge_http::handler::{Function, ResponseFuture};
 use mintridge_http::server::{Limits, Phase, Protocol, serve};
 use mintridge_http::{Body, reply};
 use tokio::net::{TcpListener, TcpStream};
@@ -36,9 +36,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let (completions, mut completed) = mpsc::unbounded_channel();
-    let handler = Function::new(Arc::new(completions), |completions, request| -> Answer {
-        Box::pin(read_body(completions, request))
-    });
+    let handler = Function::new(
+        Arc::new(completions),
+        |completions, request| -> ResponseFuture { Box::pin(read_body(completions, request)) },
+    );
     let phase = watch::Sender::new(Phase::Open);
     tokio::spawn(serve(
         listener,
--- a/crates/http/tests/common/mod.rs
+++ b/crates/http/tests/common/mod.rs
@@ -10,7 +10,7 @@
 
 use http_body_util::BodyExt;
 use hyper::{Request, Response, StatusCode};
-use mintridge_http::handler::{Answer, Function};
+use mintridge_http::handler::{Function, ResponseFuture};
 use mintridge_http::server::{Limits, Phase, Protocol, serve};
 use mintridge_http::{Body, reply};
 use tokio::net::TcpListener;
@@ -74,9 +74,9 @@
 }
 
 /// Starts a server with this timeout for a header section.
-pub fn start_with_header_timeout(header_within: Duration) -> Server {
+pub fn start_with_header_timeout(header_timeout: Duration) -> Server {
     start_with(Limits {
-        header_within,
+        header_timeout,
         ..Limits::default()
     })
 }
@@ -95,7 +95,7 @@
             .expect("a runtime");
         runtime.block_on(async move {
             let listener = TcpListener::from_std(listener).expect("a listener");
-            let handler = Function::new(server_counters, |counters, request| -> Answer {
+            let handler = Function::new(server_counters, |counters, request| -> ResponseFuture {
                 Box::pin(answer(counters, request))
             });
             let protocol = Protocol::Pipelined(8);
--- a/crates/http/tests/window.rs
+++ b/crates/http/tests/window.rs
@@ -12,7 +12,7 @@
 use hyper::client::conn::http2;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioExecutor, TokioIo};
-use mintridge_http::handler::{Answer, Function};
+use mintridge_http::handler::{Function, ResponseFuture};
 use mintridge_http::server::{Limits, Phase, Protocol, serve};
 use mintridge_http::{Body, reply};
 use tokio::net::{TcpListener, TcpStream};
@@ -75,7 +75,7 @@
     let refuse_signal = Arc::new(Notify::new());
     let handler = Function::new(
         Arc::clone(&refuse_signal),
-        |refuse_signal, request| -> Answer { Box::pin(refuse(refuse_signal, request)) },
+        |refuse_signal, request| -> ResponseFuture { Box::pin(refuse(refuse_signal, request)) },
     );
     let phase = watch::Sender::new(Phase::Open);
     let limits = Limits::default();
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -22,7 +22,7 @@
 use mintridge_core::placement::Placement;
 use mintridge_core::screen::Verdict;
 use mintridge_core::{quarantine, retry};
-use mintridge_http::handler::{Answer, Function};
+use mintridge_http::handler::{Function, ResponseFuture};
 use mintridge_http::problem::{self, Precision};
 use mintridge_http::{Body, server};
 use parking_lot::Mutex;
@@ -80,10 +80,10 @@
     tokio::spawn(receive_reports(Arc::clone(&entry)));
     let limits = server::Limits {
         connections: context.settings.callers.connections_most,
-        header_within: context.settings.callers.header_within,
+        header_timeout: context.settings.callers.header_within,
         ..server::Limits::default()
     };
-    let handler = Function::new(entry, |entry, request| -> Answer {
+    let handler = Function::new(entry, |entry, request| -> ResponseFuture {
         Box::pin(answer(entry, request))
     });
     let pipelined = context.settings.callers.pipelined_most;
@@ -96,8 +96,8 @@
         phase,
     )
     .await;
-    if ended.cut > 0 {
-        log::warn!(connections = ended.cut; "shutdown interrupted callers' requests");
+    if ended.aborted_connections > 0 {
+        log::warn!(connections = ended.aborted_connections; "shutdown interrupted callers' requests");
     }
 }
 
--- a/crates/node/src/guard.rs
+++ b/crates/node/src/guard.rs
@@ -37,7 +37,7 @@
 use mintridge_core::probe;
 use mintridge_core::request::Id;
 use mintridge_core::warm_up::WarmUp;
-use mintridge_http::handler::{Answer, Function};
+use mintridge_http::handler::{Function, ResponseFuture};
 use mintridge_http::problem::{self, Precision};
 use mintridge_http::{Body, reply, server};
 use parking_lot::Mutex;
@@ -115,7 +115,7 @@
     tokio::spawn(pace::poll_in_slow_phase(Arc::clone(&guard)));
     tokio::spawn(warm_up::run(Arc::clone(&guard)));
     tokio::spawn(warm_up::follow_rate(Arc::clone(&guard)));
-    let handler = Function::new(guard, |guard, request| -> Answer {
+    let handler = Function::new(guard, |guard, request| -> ResponseFuture {
         Box::pin(handle(guard, request))
     });
     let limits = server::Limits {
@@ -124,9 +124,9 @@
     };
     let phase = context.peers_phase();
     let ended = server::serve(listener, handler, server::Protocol::Http2, limits, phase).await;
-    if ended.cut > 0 {
+    if ended.aborted_connections > 0 {
         log::warn!(
-            connections = ended.cut;
+            connections = ended.aborted_connections;
             "shutdown closed connections with peers' requests in progress"
         );
     }
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -12,9 +12,9 @@
 use hyper::rt::Timer as _;
 use hyper::{Method, Request, Response};
 use hyper_util::rt::{TokioExecutor, TokioIo};
-use mintridge_http::counted::Counted;
+use mintridge_http::counted::CountGuard;
 use mintridge_http::quiet_timer::Timer;
-use mintridge_http::socket::Shared;
+use mintridge_http::socket::SharedStream;
 use mintridge_http::{Body, reply};
 use parking_lot::Mutex;
 use tokio::net::TcpStream;
@@ -161,7 +161,7 @@
         let entry = self.entry(address);
         let ready = tokio::time::timeout_at(until, self.ready(&entry, address)).await;
         let mut link = ready.map_err(|_| Error::NoLinkInTime)??;
-        let _in_progress = Counted::new(Arc::clone(&link.in_progress));
+        let _in_progress = CountGuard::new(Arc::clone(&link.in_progress));
         let sent = tokio::time::timeout_at(until, link.sender.try_send_request(request)).await;
         match sent.map_err(|_| Error::Unanswered)? {
             Ok(response) => {
@@ -284,7 +284,7 @@
             .keep_alive_interval(self.settings.ping_every)
             .keep_alive_timeout(self.settings.ping_within)
             .keep_alive_while_idle(false)
-            .handshake(TokioIo::new(Shared(stream)))
+            .handshake(TokioIo::new(SharedStream(stream)))
             .await
             .map_err(|_| Error::NeverSent)?;
         let in_progress = Arc::new(AtomicUsize::new(0));
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -4,7 +4,7 @@
 
 use hyper::{Request, Response, StatusCode};
 use mintridge_core::outcome::Reason;
-use mintridge_http::handler::{Answer, Function};
+use mintridge_http::handler::{Function, ResponseFuture};
 use mintridge_http::{Body, reply, server};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
@@ -48,7 +48,7 @@
         connections: 64,
         ..server::Limits::default()
     };
-    let handler = Function::new(context, |context, request| -> Answer {
+    let handler = Function::new(context, |context, request| -> ResponseFuture {
         Box::pin(async move { answer(&context, &request) })
     });
     server::serve(listener, handler, server::Protocol::Http1, limits, phase).await;
--- a/crates/standin/src/store/serving.rs
+++ b/crates/standin/src/store/serving.rs
@@ -9,7 +9,7 @@
 use http_body_util::StreamBody;
 use hyper::body::Frame;
 use hyper::{Request, Response, StatusCode};
-use mintridge_http::handler::{Answer, Function};
+use mintridge_http::handler::{Function, ResponseFuture};
 use mintridge_http::server::{Limits, Phase, Protocol, serve};
 use mintridge_http::{Body, reply};
 use mintridge_store::wire;
@@ -25,7 +25,7 @@
         connections: 65_536,
         ..Limits::default()
     };
-    let handler = Function::new(store, |store, request| -> Answer {
+    let handler = Function::new(store, |store, request| -> ResponseFuture {
         Box::pin(respond(store, request))
     });
     serve(listener, handler, Protocol::Http1, limits, phase).await;
@@ -230,6 +230,6 @@
     }
 }
 
-fn bad_request(error: &reply::BadBody) -> Response<Body> {
+fn bad_request(error: &reply::BodyError) -> Response<Body> {
     reply::text(StatusCode::BAD_REQUEST, format!("{error}\n"))
 }
--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -12,9 +12,9 @@
 use hyper::body::Frame;
 use hyper::{Method, Request, Response, StatusCode};
 use mintridge_core::outcome::{Reason, Refusal};
-use mintridge_http::handler::{Answer, Function};
+use mintridge_http::handler::{Function, ResponseFuture};
 use mintridge_http::problem::{self, Precision};
-use mintridge_http::server::{Ended, Limits, Phase, Protocol, serve};
+use mintridge_http::server::{Limits, Phase, Protocol, Shutdown, serve};
 use mintridge_http::{Body, reply};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -254,8 +254,8 @@
     listener: TcpListener,
     upstream: Arc<Upstream>,
     phase: watch::Receiver<Phase>,
-) -> Ended {
-    let handler = Function::new(upstream, |upstream, request| -> Answer {
+) -> Shutdown {
+    let handler = Function::new(upstream, |upstream, request| -> ResponseFuture {
         Box::pin(handle(upstream, request))
     });
     serve(listener, handler, Protocol::Http1, Limits::default(), phase).await
