--- a/crates/node/src/adapter.rs
+++ b/crates/node/src/adapter.rs
@@ -12,7 +12,7 @@
 use mintridge_store::dialect::Dialect;
 use mintridge_store::etcd;
 
-use crate::announcement::{self, Heard, Incoming};
+use crate::announcement::{self, Incoming, Message};
 
 /// Input that does not conform to the interface of the platform.
 #[derive(Debug, thiserror::Error)]
@@ -31,7 +31,7 @@
     /// Protocol of the store.
     pub store: Dialect,
     /// Parses a message that an upstream sends to the node beside it.
-    pub heard: fn(&Incoming<'_>) -> Result<Heard, Malformed>,
+    pub parse_message: fn(&Incoming<'_>) -> Result<Message, Malformed>,
     /// Creates the response to an accepted message of the upstream.
     pub acknowledge: fn() -> Response<Body>,
     /// Parses the routing table that operators maintain in the store; the returned table reports
@@ -47,7 +47,7 @@
     fn default() -> Self {
         Self {
             store: etcd::DIALECT,
-            heard: announcement::read,
+            parse_message: announcement::read,
             acknowledge: announcement::acknowledge,
             routes: |document| Ok(serde_json::from_slice(document)?),
             load: |value| serde_json::from_str(value).ok(),
--- a/crates/node/src/announcement.rs
+++ b/crates/node/src/announcement.rs
@@ -65,11 +65,11 @@
 
 /// Message from an upstream to the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Message {
     /// The upstream is running.
     Announced(Announcement),
     /// The upstream accepts no new requests and will exit soon.
-    Left {
+    Leaving {
         /// Id of the instance that exits.
         instance: Arc<str>,
         /// Start time of the instance, if the message contains it.
@@ -92,11 +92,11 @@
 ///
 /// # Errors
 /// If method or path is wrong, or the body does not parse.
-pub fn read(incoming: &Incoming<'_>) -> Result<Heard, Malformed> {
+pub fn read(incoming: &Incoming<'_>) -> Result<Message, Malformed> {
     if incoming.method != Method::POST || incoming.path != PATH {
         return Err(Malformed::Call);
     }
-    Ok(Heard::Announced(serde_json::from_slice(incoming.body)?))
+    Ok(Message::Announced(serde_json::from_slice(incoming.body)?))
 }
 
 /// Builds the response to a message in mintridge's own format.
@@ -149,7 +149,7 @@
         path: parts.uri.path(),
         body: &body,
     };
-    let message = match (context.adapter.heard)(&incoming) {
+    let message = match (context.adapter.parse_message)(&incoming) {
         Ok(message) => message,
         Err(error @ Malformed::Call) => return refuse(&context, StatusCode::NOT_FOUND, &error),
         Err(error) => return refuse(&context, StatusCode::BAD_REQUEST, &error),
--- a/crates/node/src/arrival.rs
+++ b/crates/node/src/arrival.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Routing<'a> {
     /// The request names its service.
-    Named {
+    ByService {
         /// Maximum number of upstreams that a request may be sent to.
         attempts: u32,
     },
@@ -69,7 +69,7 @@
     NoRoute,
     /// The route for the host and path could not be parsed.
     #[error("the route for the host and path could not be parsed from the routing table")]
-    ClosedRoute,
+    InvalidRoute,
 }
 
 impl Malformed {
@@ -78,7 +78,7 @@
     pub const fn reason(self) -> Reason {
         match self {
             Self::NoRoute => Reason::NoRoute,
-            Self::ClosedRoute => Reason::Unconfigured,
+            Self::InvalidRoute => Reason::Unconfigured,
             Self::Service | Self::Timeout | Self::Text | Self::Keys | Self::RequestId => {
                 Reason::BadRequest
             }
@@ -161,7 +161,7 @@
     routing: Routing<'_>,
 ) -> Result<Resolution, Malformed> {
     match routing {
-        Routing::Named { attempts } => {
+        Routing::ByService { attempts } => {
             let service = service(settings, parts)?;
             Ok(Resolution {
                 route: Arc::clone(&service),
@@ -177,7 +177,7 @@
             let host = host(parts).ok_or(Malformed::NoRoute)?;
             let route = table.find(host, parts.uri.path());
             let route = route.ok_or(Malformed::NoRoute)?;
-            let service = route.service(count).ok_or(Malformed::ClosedRoute)?;
+            let service = route.service(count).ok_or(Malformed::InvalidRoute)?;
             Ok(Resolution {
                 service: Arc::clone(service),
                 route: Arc::clone(&route.name),
--- a/crates/node/src/body.rs
+++ b/crates/node/src/body.rs
@@ -19,14 +19,14 @@
 }
 
 /// A body that owns a guard value for as long as it is being read.
-pub struct Held<T> {
+pub struct Guarded<T> {
     body: Body,
     guard: Option<T>,
     idle_timeout: Duration,
     idle_timer: Pin<Box<Sleep>>,
 }
 
-impl<T> Held<T> {
+impl<T> Guarded<T> {
     /// Creates a body that drops `guard` when it ends, fails, or is dropped by its reader.
     ///
     /// Failure: the sender of a body stops sending without closing the connection. Symptom: the
@@ -48,7 +48,7 @@
     }
 }
 
-impl<T: Unpin> HttpBody for Held<T> {
+impl<T: Unpin> HttpBody for Guarded<T> {
     type Data = Bytes;
     type Error = io::Error;
 
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -20,13 +20,13 @@
 #[derive(Debug)]
 pub enum Job {
     /// Claim a key before its request is handed over to the upstream.
-    Ask {
+    Submit {
         /// Claim to make.
         claim: Claim,
         /// The answer is useless after this instant.
         deadline: Instant,
         /// Receives the verdict.
-        answer: oneshot::Sender<Verdict>,
+        verdict_sender: oneshot::Sender<Verdict>,
     },
     /// Release a key whose request was refused by every host.
     Release(Claim),
@@ -90,14 +90,14 @@
 impl Worker {
     fn submit(&mut self, job: Job) {
         match job {
-            Job::Ask {
+            Job::Submit {
                 claim,
                 deadline,
-                answer,
+                verdict_sender,
             } => {
                 let ticket = Ticket(self.next_ticket);
                 self.next_ticket += 1;
-                self.answers.insert(ticket, answer);
+                self.answers.insert(ticket, verdict_sender);
                 self.claims.submit(ticket, claim, deadline);
             }
             Job::Release(claim) => self.claims.release(claim),
@@ -165,8 +165,8 @@
 
     fn answer(&mut self, ticket: Ticket, verdict: Verdict) {
         self.context.metrics.claim(verdict);
-        if let Some(answer) = self.answers.remove(&ticket) {
-            let _ = answer.send(verdict);
+        if let Some(verdict_sender) = self.answers.remove(&ticket) {
+            let _ = verdict_sender.send(verdict);
         }
     }
 
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -18,9 +18,9 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::adapter::Adapter;
-use crate::announcement::Heard;
+use crate::announcement::Message;
 use crate::claims::Job;
-use crate::entry::Seen;
+use crate::entry::UpstreamView;
 use crate::metrics::Metrics;
 use crate::settings::Settings;
 
@@ -40,7 +40,7 @@
 
 /// State of the upstream beside this node, as observed by its guard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Guarded {
+pub struct GuardState {
     /// Load of the upstream, as counted by the guard.
     pub load: Report,
     /// Why no new requests are forwarded to the upstream; `None` if they are.
@@ -92,11 +92,11 @@
 #[derive(Debug)]
 pub struct Rings {
     /// Announcements of the upstream, to the guard.
-    pub announcements: mpsc::Sender<Heard>,
+    pub announcements: mpsc::Sender<Message>,
     /// Claims on idempotency keys, to the claims thread.
     pub claims: mpsc::Sender<Job>,
     /// Events of the guard about requests that crash upstreams, to control.
-    pub suspicions: mpsc::Sender<Event>,
+    pub quarantine_events: mpsc::Sender<Event>,
 }
 
 /// Watch channels between duties. A new value replaces the previous one, so these channels cannot
@@ -112,9 +112,9 @@
     /// State of the upstream to publish to other nodes, from the guard.
     pub upstream: watch::Sender<Option<Upstream>>,
     /// State of the upstream for operators, from the guard.
-    pub guarded: watch::Sender<Guarded>,
+    pub guarded: watch::Sender<GuardState>,
     /// Upstreams as known to the entry, for operators.
-    pub seen: watch::Sender<Vec<Seen>>,
+    pub upstreams: watch::Sender<Vec<UpstreamView>>,
     /// Start time of the last successful exchange with a peer or read of the store, from control.
     pub refreshed: watch::Sender<Instant>,
     /// Last accepted version of the settings file. Only the sections in
--- a/crates/node/src/duties.rs
+++ b/crates/node/src/duties.rs
@@ -13,7 +13,7 @@
 use tokio::runtime::Builder;
 use tokio::sync::mpsc;
 
-use crate::announcement::Heard;
+use crate::announcement::Message;
 use crate::claims::Job;
 use crate::context::Context;
 use crate::{announcement, claims, control, entry, guard, operators};
@@ -37,7 +37,7 @@
     /// Additional listener for operators, at a fixed address.
     pub metrics: Option<Socket>,
     /// Receiver of the queue to the guard.
-    pub announced: mpsc::Receiver<Heard>,
+    pub announced: mpsc::Receiver<Message>,
     /// Receiver of the queue to the claims thread.
     pub jobs: mpsc::Receiver<Job>,
     /// Receiver of the queue to control.
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -59,7 +59,7 @@
 
 /// An upstream as this entry knows it, for operators.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Seen {
+pub struct UpstreamView {
     /// Host that the upstream runs on.
     pub host: Arc<str>,
     /// Service that the upstream offers.
@@ -97,7 +97,10 @@
     )
     .await;
     if ended.aborted_connections > 0 {
-        log::warn!(connections = ended.aborted_connections; "shutdown interrupted callers' requests");
+        log::warn!(
+            connections = ended.aborted_connections;
+            "shutdown interrupted callers' requests"
+        );
     }
 }
 
@@ -156,10 +159,13 @@
     let span = traces::root("entry", &entry.context, request.headers());
     let mut history = History::new(&entry.log, now, &request_id);
     let serving = serve(Arc::clone(&entry), now, request_id, request, &mut history);
-    let response = traces::within(span, serving).await;
-    entry.context.metrics.answered(now.elapsed(), &response);
+    let response = traces::in_span(span, serving).await;
+    entry
+        .context
+        .metrics
+        .record_response(now.elapsed(), &response);
     let refusal = problem::read(now, response.headers());
-    history.answered(
+    history.finish(
         response.status(),
         refusal.map(|refusal| refusal.reason.as_str()),
     );
@@ -179,12 +185,12 @@
         Ok(id) => id,
         Err(error) => return entry.refuse_malformed(now, error, &request_id, &parts, 0),
     };
-    history.identified(&request_id);
+    history.set_request_id(&request_id);
     let routes = entry.context.latest.routes.borrow().clone();
     let version = routes
         .as_ref()
         .map_or(0, |document| document.table.version.0);
-    history.read_by(version);
+    history.set_routes_version(version);
     let routing = match &routes {
         Some(document) => Routing::Table {
             table: &document.table,
@@ -194,7 +200,7 @@
             let refusal = Refusal::not_run(Reason::Unconfigured, now + NO_UPSTREAM_RETRY_DELAY);
             return entry.refuse(&refusal, &request_id);
         }
-        None => Routing::Named {
+        None => Routing::ByService {
             attempts: entry.context.settings.retry.attempts,
         },
     };
@@ -202,9 +208,9 @@
         Ok(parsed) => parsed,
         Err(error) => return entry.refuse_malformed(now, error, &request_id, &parts, version),
     };
-    history.routed(&parsed.head.service, parsed.head.deadline);
+    history.record_routing(&parsed.head.service, parsed.head.deadline);
     let fingerprint = entry.fingerprint(&parsed.head, &parts, &body);
-    history.repeats(fingerprint.head);
+    history.set_fingerprint(fingerprint.head);
     let trial_host = match entry.screen(now, &parsed.head.service, fingerprint) {
         Ok(trial_host) => trial_host,
         Err(refusal) => return entry.refuse(&refusal, &parsed.head.request),
@@ -243,7 +249,7 @@
         routes_version: u64,
     ) -> Response<Body> {
         self.context.metrics.bad_input("caller-request");
-        if self.log.admits(1) {
+        if self.log.try_acquire(1) {
             let host = parts.headers.get(HOST);
             log::info!(
                 request = request_id,
@@ -255,7 +261,7 @@
             );
         }
         let retry_at = match error {
-            arrival::Malformed::ClosedRoute => now + NO_UPSTREAM_RETRY_DELAY,
+            arrival::Malformed::InvalidRoute => now + NO_UPSTREAM_RETRY_DELAY,
             _ => now,
         };
         self.refuse(&Refusal::not_run(error.reason(), retry_at), request_id)
@@ -311,7 +317,7 @@
             .map(|record| (Arc::clone(&record.host), record.peer_address))
             .collect();
         self.links
-            .keep(|address| addresses.values().any(|peer| peer == address));
+            .retain(|address| addresses.values().any(|peer| peer == address));
         *self.peers.lock() = addresses;
         self.placement.lock().update(Instant::now(), &upstreams);
         let share = view.in_force.preset.retry_share;
@@ -334,14 +340,17 @@
 
     /// Publishes the upstreams known to this entry, for operators.
     fn publish(&self) {
-        self.context.latest.seen.send_replace(self.upstream_views());
+        self.context
+            .latest
+            .upstreams
+            .send_replace(self.upstream_views());
     }
 
-    fn upstream_views(&self) -> Vec<Seen> {
+    fn upstream_views(&self) -> Vec<UpstreamView> {
         let placement = self.placement.lock();
         placement
             .candidates()
-            .map(|(upstream, report, outstanding)| Seen {
+            .map(|(upstream, report, outstanding)| UpstreamView {
                 host: Arc::clone(&upstream.host),
                 service: Arc::clone(&upstream.service),
                 report: *report,
--- a/crates/node/src/entry/deferred.rs
+++ b/crates/node/src/entry/deferred.rs
@@ -109,7 +109,7 @@
     until: Instant,
     gate: &Gate,
 ) -> Infallible {
-    if let Some(slot_request) = link::slot_question(request_id) {
+    if let Some(slot_request) = link::slot_request(request_id) {
         let reply = entry.links.send(address, slot_request, until).await;
         if let Err(error) = reply {
             log::debug!(
--- a/crates/node/src/entry/forward.rs
+++ b/crates/node/src/entry/forward.rs
@@ -15,7 +15,7 @@
 use super::attempt::{Attempt, Outgoing, attempt};
 use super::placed::Placed;
 use super::{Entry, NO_UPSTREAM_RETRY_DELAY};
-use crate::body::Held;
+use crate::body::Guarded;
 use crate::claims::Job;
 use crate::headers;
 use crate::request_log::History;
@@ -62,7 +62,7 @@
             return entry.give_up(forwarding, refusal);
         };
         let attempted = attempt(&forwarding.outgoing, &mut placed).await;
-        history.attempted(placed.log_record(attempted.outcome()));
+        history.record_attempt(placed.log_record(attempted.outcome()));
         match entry.judge(&mut forwarding, attempted, placed) {
             Verdict::PassOn(answered) => {
                 let (response, placed) = *answered;
@@ -235,7 +235,7 @@
         let (mut parts, body) = response.into_parts();
         headers::strip_hop_by_hop(&mut parts.headers);
         let idle = self.context.settings.callers.body_idle;
-        let body = Held::new(reply::from_incoming(body), (placed, outgoing.source), idle);
+        let body = Guarded::new(reply::from_incoming(body), (placed, outgoing.source), idle);
         Response::from_parts(parts, Body::new(body))
     }
 
--- a/crates/node/src/entry/placed.rs
+++ b/crates/node/src/entry/placed.rs
@@ -37,7 +37,7 @@
             report_age: self.started_at.duration_since(reported_at),
             only_in_time: self.only_in_time,
             outcome,
-            asked_at: self.started_at,
+            started_at: self.started_at,
             took: self.started_at.elapsed(),
         }
     }
--- a/crates/node/src/guard.rs
+++ b/crates/node/src/guard.rs
@@ -49,9 +49,9 @@
 use self::runs::Runs;
 use self::slot::admit;
 use self::unplaced::Unplaced;
-use crate::announcement::{Announcement, Heard};
+use crate::announcement::{Announcement, Message};
 use crate::claims::Job;
-use crate::context::{Context, Guarded, View};
+use crate::context::{Context, GuardState, View};
 use crate::headers::{self, Head};
 use crate::link::{CHECK_PATH, SLOT_PATH};
 use crate::request_log::RequestLog;
@@ -105,7 +105,7 @@
 pub async fn run(
     context: Arc<Context>,
     listener: TcpListener,
-    announcements: mpsc::Receiver<Heard>,
+    announcements: mpsc::Receiver<Message>,
 ) {
     let guard = Arc::new(Guard::new(Arc::clone(&context)));
     follow::start(&guard, announcements);
@@ -137,8 +137,8 @@
         return reply::text(StatusCode::OK, "here\n");
     }
     if request.uri().path() == SLOT_PATH {
-        let number = headers::number(request.headers()).unwrap_or("");
-        guard.unplaced.wait_for_decision(number).await;
+        let request_id = headers::request_id(request.headers()).unwrap_or("");
+        guard.unplaced.wait_for_decision(request_id).await;
         return reply::text(StatusCode::OK, "it has a slot or was refused\n");
     }
     let now = Instant::now();
@@ -155,7 +155,7 @@
         guard.reporting.record_request(now, address);
     }
     let span = traces::child("guard", &guard.context, request.headers());
-    traces::within(span, serve(guard, head, request)).await
+    traces::in_span(span, serve(guard, head, request)).await
 }
 
 async fn serve(guard: Arc<Guard>, head: Head, request: Request<Body>) -> Response<Body> {
@@ -240,11 +240,11 @@
     }
 
     async fn claim(&self, claim: &Claim, deadline: Instant) -> Result<(), Refusal> {
-        let (answer, receiver) = oneshot::channel();
-        let job = Job::Ask {
+        let (verdict_sender, receiver) = oneshot::channel();
+        let job = Job::Submit {
             claim: claim.clone(),
             deadline,
-            answer,
+            verdict_sender,
         };
         if self.context.rings.claims.try_send(job).is_err() {
             self.context.metrics.ring_full("claims");
@@ -300,7 +300,7 @@
 
     /// Logs a refusal together with the load it is based on.
     fn log_refusal(&self, refusal: &Refusal, request: &str, report: &Report) {
-        if !self.log.admits(1) {
+        if !self.log.try_acquire(1) {
             return;
         }
         log::info!(
@@ -350,7 +350,7 @@
             leaving,
         });
         let spent = state.probe_budget.spent() + state.pace_budget.spent();
-        let guarded = Guarded {
+        let guarded = GuardState {
             load: state.admission.report(now),
             closed,
             doubtful: !state.health.is_ready(),
--- a/crates/node/src/guard/follow.rs
+++ b/crates/node/src/guard/follow.rs
@@ -7,14 +7,14 @@
 use tokio::sync::mpsc;
 
 use super::{Guard, State};
-use crate::announcement::{Announcement, Heard, State as Announced};
+use crate::announcement::{Announcement, Message, State as Announced};
 use crate::context::Stage;
 
 /// Interval at which the gate's timers are checked and the state is published to other tasks.
 pub const TICK: Duration = Duration::from_millis(100);
 
 /// Starts the tasks.
-pub fn start(guard: &Arc<Guard>, announcements: mpsc::Receiver<Heard>) {
+pub fn start(guard: &Arc<Guard>, announcements: mpsc::Receiver<Message>) {
     tokio::spawn(apply_messages(Arc::clone(guard), announcements));
     tokio::spawn(follow_view(Arc::clone(guard)));
     tokio::spawn(follow_settings(Arc::clone(guard)));
@@ -24,11 +24,11 @@
     tokio::spawn(tick(Arc::clone(guard)));
 }
 
-async fn apply_messages(guard: Arc<Guard>, mut ring: mpsc::Receiver<Heard>) {
+async fn apply_messages(guard: Arc<Guard>, mut ring: mpsc::Receiver<Message>) {
     while let Some(message) = ring.recv().await {
         match message {
-            Heard::Announced(announcement) => guard.apply_announcement(announcement),
-            Heard::Left { instance, born } => guard.apply_leaving(&instance, born),
+            Message::Announced(announcement) => guard.apply_announcement(announcement),
+            Message::Leaving { instance, born } => guard.apply_leaving(&instance, born),
         }
         guard.publish();
         guard.pump();
@@ -39,7 +39,7 @@
     pub(super) fn apply_announcement(&self, announcement: Announcement) {
         if let Some(cause) = self.mismatch(&announcement) {
             self.context.metrics.bad_input("announcement");
-            if self.log.admits(1) {
+            if self.log.try_acquire(1) {
                 log::warn!(
                     instance = &*announcement.instance,
                     address:% = announcement.address,
@@ -101,7 +101,7 @@
         self.record_crash_before_restart(state);
         state.admission.reset_after_restart();
         state.health.reset_after_restart();
-        self.upstream.restarted();
+        self.upstream.reset_after_restart();
     }
 
     /// Returns why an announcement does not belong to the upstream beside this node, if so.
--- a/crates/node/src/guard/hand_over.rs
+++ b/crates/node/src/guard/hand_over.rs
@@ -20,7 +20,7 @@
 use super::slot::Slot;
 use super::{Guard, screening};
 use crate::arrival::ANONYMOUS;
-use crate::body::Held;
+use crate::body::Guarded;
 use crate::headers::{self, Head};
 use crate::traces;
 use crate::upstream::{self, Received};
@@ -39,8 +39,8 @@
     let time_left = head.deadline.saturating_duration_since(handed_over_at);
     guard.prepare(&mut request, head, time_left);
     let run = guard.begin_run(slot.id, digest.clone());
-    let result = traces::within(
-        traces::hop("upstream"),
+    let result = traces::in_span(
+        traces::child_span("upstream"),
         guard.upstream.send(address, request, head.deadline),
     )
     .await;
@@ -75,7 +75,7 @@
     headers::strip_own(&mut parts.headers);
     headers::write_load(&guard.report(now), &mut parts.headers);
     let idle = guard.context.settings.callers.body_idle;
-    let body = Held::new(body, (run, trial, slot), idle);
+    let body = Guarded::new(body, (run, trial, slot), idle);
     Ok(Response::from_parts(parts, Body::new(body)))
 }
 
@@ -155,7 +155,7 @@
             _ => Some(Verdict::Failed),
         };
         self.record_verdict(now, verdict);
-        if self.log.admits(1) {
+        if self.log.try_acquire(1) {
             log::info!(
                 request = request,
                 fingerprint:% = digest.fingerprint(),
--- a/crates/node/src/guard/pace.rs
+++ b/crates/node/src/guard/pace.rs
@@ -46,7 +46,7 @@
     };
     let request = guard
         .upstream
-        .ask(announcement.address, &announcement.health_path);
+        .get(announcement.address, &announcement.health_path);
     let result = tokio::time::timeout(timeout, request).await;
     let now = Instant::now();
     guard
@@ -54,7 +54,7 @@
         .lock()
         .pace_budget
         .refund(&reservation, now - started_at);
-    guard.context.metrics.pace_asked();
+    guard.context.metrics.record_pace_poll();
     match result {
         Ok(Ok(parts)) => {
             guard.observe_load(now, guard.upstream.load(&parts.headers).as_ref());
--- a/crates/node/src/guard/runs.rs
+++ b/crates/node/src/guard/runs.rs
@@ -25,7 +25,7 @@
 use crate::arrival;
 use crate::headers::Head;
 use crate::settings::Settings;
-use crate::upstream::Reach;
+use crate::upstream::Reachability;
 
 /// Maximum number of fingerprints in one log line. More requests than that are seldom in progress
 /// in one upstream, and the line also gives their total number.
@@ -190,10 +190,10 @@
         drop(state);
         let guard = Arc::clone(self);
         tokio::spawn(async move {
-            let reach = guard.upstream.reach(address).await;
+            let reachability = guard.upstream.try_connect(address).await;
             let mut state = guard.state.lock();
             state.runs.checking = false;
-            if reach != Reach::Refused || state.gate.is_leaving() {
+            if reachability != Reachability::Refused || state.gate.is_leaving() {
                 return;
             }
             state
@@ -223,7 +223,7 @@
 
     /// Records that the upstream crashed with these requests in progress.
     fn record_crash(&self, in_progress: &HashMap<Id, Digest>, evidence: Evidence) {
-        self.context.metrics.upstream_ended();
+        self.context.metrics.record_upstream_crash();
         let fingerprints: Vec<Fingerprint> =
             in_progress.values().map(Digest::fingerprint).collect();
         let logged: Vec<String> = fingerprints
--- a/crates/node/src/guard/screening.rs
+++ b/crates/node/src/guard/screening.rs
@@ -130,10 +130,10 @@
 
     /// Sends an event to control; returns false if the ring is full.
     pub(super) fn report_event(&self, event: Event) -> bool {
-        let sent = self.context.rings.suspicions.try_send(event).is_ok();
+        let sent = self.context.rings.quarantine_events.try_send(event).is_ok();
         if !sent {
             self.context.metrics.ring_full("suspicions");
-            if self.log.admits(1) {
+            if self.log.try_acquire(1) {
                 log::warn!("ring to control is full; dropped a crash, answer or trial event");
             }
         }
--- a/crates/node/src/headers.rs
+++ b/crates/node/src/headers.rs
@@ -118,7 +118,7 @@
 
 /// Returns the id of the request that a question from a peer is about.
 #[must_use]
-pub fn number(headers: &HeaderMap) -> Option<&str> {
+pub fn request_id(headers: &HeaderMap) -> Option<&str> {
     text(headers, REQUEST)
 }
 
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -58,7 +58,7 @@
 /// Builds the request that asks a peer whether a caller's request has a slot; `None` if it cannot be
 /// built.
 #[must_use]
-pub fn slot_question(request_id: &str) -> Option<Request<Body>> {
+pub fn slot_request(request_id: &str) -> Option<Request<Body>> {
     let mut request = Request::builder()
         .method(Method::GET)
         .uri(format!("http://peer{SLOT_PATH}"))
@@ -122,7 +122,7 @@
     }
 
     /// Removes links to addresses that are no longer in use.
-    pub fn keep(&self, in_use: impl Fn(&SocketAddr) -> bool) {
+    pub fn retain(&self, in_use: impl Fn(&SocketAddr) -> bool) {
         self.entries.lock().retain(|address, _| in_use(address));
     }
 
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -16,7 +16,7 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-use crate::context::Guarded;
+use crate::context::GuardState;
 
 /// Bucket bounds of the latency histogram, in seconds.
 const LATENCY_BOUNDS: [f64; 12] = [
@@ -191,7 +191,7 @@
 
     /// Counts a request whose response head was sent to the caller, and records its latency unless
     /// it was refused.
-    pub fn answered(&self, took: Duration, response: &Response<Body>) {
+    pub fn record_response(&self, took: Duration, response: &Response<Body>) {
         self.requests.inc();
         if !response.headers().contains_key(problem::OUTCOME) {
             self.request_seconds.observe(took.as_secs_f64());
@@ -214,7 +214,7 @@
     }
 
     /// Counts a crash of the upstream with requests in progress.
-    pub fn upstream_ended(&self) {
+    pub fn record_upstream_crash(&self) {
         self.upstream_ends.inc();
     }
 
@@ -243,7 +243,7 @@
     }
 
     /// Counts a request that asks the upstream for the speed of its host.
-    pub fn pace_asked(&self) {
+    pub fn record_pace_poll(&self) {
         self.pace_asked.inc();
     }
 
@@ -296,7 +296,7 @@
     }
 
     /// Sets the metrics of the guarded upstream.
-    pub fn guarded(&self, guarded: &Guarded) {
+    pub fn guarded(&self, guarded: &GuardState) {
         self.in_flight.set(guarded.load.in_flight.into());
         self.queued.set(guarded.load.queued.into());
         self.limit.set(guarded.load.limit.into());
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::adapter::Adapter;
-use crate::context::{Addresses, Context, Guarded, Latest, Rings, Stage, View, unix_millis};
+use crate::context::{Addresses, Context, GuardState, Latest, Rings, Stage, View, unix_millis};
 use crate::duties::{self, Duty, Inputs, Socket};
 use crate::metrics::Metrics;
 use crate::settings::Settings;
@@ -76,7 +76,7 @@
     let rings = Rings {
         announcements: to_guard,
         claims: to_claims,
-        suspicions: to_control,
+        quarantine_events: to_control,
     };
     if settings.traces.sampled {
         traces::start();
@@ -126,8 +126,8 @@
         routes: watch::Sender::new(None),
         screen: watch::Sender::new(Arc::default()),
         upstream: watch::Sender::new(None),
-        guarded: watch::Sender::new(Guarded::default()),
-        seen: watch::Sender::new(Vec::new()),
+        guarded: watch::Sender::new(GuardState::default()),
+        upstreams: watch::Sender::new(Vec::new()),
         refreshed: watch::Sender::new(Instant::now()),
         stage: watch::Sender::new(Stage::Serving),
     }
@@ -183,11 +183,11 @@
         self.wait_for_duty("entry");
         self.set_stage(Stage::ClosingPeers { give_up_at });
         self.wait_for_duty("guard");
-        self.end();
+        self.terminate();
     }
 
     /// Ends the node immediately; requests in progress are aborted.
-    pub fn end(self) {
+    pub fn terminate(self) {
         self.set_stage(Stage::Ending);
         for duty in self.duties {
             if duty.thread.join().is_err() {
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 
-use crate::context::{Context, Guarded, View};
-use crate::entry::Seen;
+use crate::context::{Context, GuardState, View};
+use crate::entry::UpstreamView;
 
 /// Path that returns 200 while the process responds.
 pub const HEALTH: &str = "/health";
@@ -36,9 +36,9 @@
     #[serde(default)]
     pub routes_version: u64,
     /// State of the upstream beside the node.
-    pub guarded: Guarded,
+    pub guarded: GuardState,
     /// Load of the upstreams as known to the node's entry.
-    pub seen: Vec<Seen>,
+    pub seen: Vec<UpstreamView>,
 }
 
 /// Serves the endpoints for operators until the node ends.
@@ -99,6 +99,6 @@
         view: context.latest.view.borrow().as_ref().clone(),
         routes_version: context.routes_version(),
         guarded: context.latest.guarded.borrow().clone(),
-        seen: context.latest.seen.borrow().clone(),
+        seen: context.latest.upstreams.borrow().clone(),
     }
 }
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -81,7 +81,7 @@
     let load = context.latest.guarded.borrow().load;
     let outstanding: u32 = context
         .latest
-        .seen
+        .upstreams
         .borrow()
         .iter()
         .map(|s| s.outstanding)
--- a/crates/node/src/request_log.rs
+++ b/crates/node/src/request_log.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns whether `lines` lines may be written now, and counts them against the rate limit.
-    pub fn admits(&self, lines: usize) -> bool {
+    pub fn try_acquire(&self, lines: usize) -> bool {
         let lines = u32::try_from(lines).unwrap_or(u32::MAX);
         let Some(dropped) = self.quota.lock().try_acquire(Instant::now(), lines) else {
             return false;
@@ -75,7 +75,7 @@
     /// Outcome of the attempt.
     pub outcome: &'static str,
     /// When the attempt started.
-    pub asked_at: Instant,
+    pub started_at: Instant,
     /// Duration of the attempt.
     pub took: Duration,
 }
@@ -113,34 +113,34 @@
     }
 
     /// Sets the request's id, which may be the caller's own.
-    pub fn identified(&mut self, request: &Arc<str>) {
+    pub fn set_request_id(&mut self, request: &Arc<str>) {
         self.request = Arc::clone(request);
     }
 
     /// Sets the version of the routing table that routes the request; 0 without a table.
-    pub const fn read_by(&mut self, version: u64) {
+    pub const fn set_routes_version(&mut self, version: u64) {
         self.routes_version = version;
     }
 
     /// Records the request's service and deadline once they are known.
-    pub fn routed(&mut self, service: &Arc<str>, deadline: Instant) {
+    pub fn record_routing(&mut self, service: &Arc<str>, deadline: Instant) {
         self.service = Some(Arc::clone(service));
         self.time_limit = deadline.saturating_duration_since(self.arrived_at);
     }
 
     /// Sets the digest of the request without its body.
-    pub const fn repeats(&mut self, fingerprint: u64) {
+    pub const fn set_fingerprint(&mut self, fingerprint: u64) {
         self.fingerprint = fingerprint;
     }
 
     /// Records an attempt that has ended.
-    pub fn attempted(&mut self, attempt: Attempt) {
+    pub fn record_attempt(&mut self, attempt: Attempt) {
         self.attempts.push(attempt);
     }
 
     /// Records the response to the caller and writes the log lines. `refused` is the reason if the
     /// response does not come from an upstream.
-    pub fn answered(&mut self, status: StatusCode, refused: Option<&'static str>) {
+    pub fn finish(&mut self, status: StatusCode, refused: Option<&'static str>) {
         self.finished = true;
         let failed = refused.is_some() || status.is_server_error();
         let outcome = refused.unwrap_or("answered");
@@ -150,7 +150,7 @@
     }
 
     fn write(&self, outcome: &'static str, status: u16) {
-        if !self.log.admits(self.attempts.len() + 1) {
+        if !self.log.try_acquire(self.attempts.len() + 1) {
             return;
         }
         for (index, attempt) in self.attempts.iter().enumerate() {
@@ -171,7 +171,7 @@
     }
 
     fn write_attempt(&self, number: usize, attempt: &Attempt) {
-        let offset = attempt.asked_at.duration_since(self.arrived_at);
+        let offset = attempt.started_at.duration_since(self.arrived_at);
         log::info!(
             request = &*self.request,
             attempt = number,
--- a/crates/node/src/traces.rs
+++ b/crates/node/src/traces.rs
@@ -11,6 +11,6 @@
 mod recorded;
 
 #[cfg(not(feature = "traces"))]
-pub use absent::{Span, child, hop, inject, root, start, within};
+pub use absent::{Span, child, child_span, in_span, inject, root, start};
 #[cfg(feature = "traces")]
-pub use recorded::{Span, child, hop, inject, root, start, within};
+pub use recorded::{Span, child, child_span, in_span, inject, root, start};
--- a/crates/node/src/traces/absent.rs
+++ b/crates/node/src/traces/absent.rs
@@ -27,12 +27,12 @@
 
 /// Returns a no-op span in place of a child of the current span.
 #[must_use]
-pub const fn hop(_: &'static str) -> Span {
+pub const fn child_span(_: &'static str) -> Span {
     Span
 }
 
 /// Returns the future unchanged.
-pub fn within<F: Future>(_: Span, work: F) -> impl Future<Output = F::Output> + use<F> {
+pub fn in_span<F: Future>(_: Span, work: F) -> impl Future<Output = F::Output> + use<F> {
     work
 }
 
--- a/crates/node/src/traces/recorded.rs
+++ b/crates/node/src/traces/recorded.rs
@@ -39,12 +39,12 @@
 }
 
 /// Returns a child of the current span.
-pub fn hop(name: &'static str) -> Span {
+pub fn child_span(name: &'static str) -> Span {
     Span::enter_with_local_parent(name)
 }
 
 /// Runs a future within a span.
-pub fn within<F: Future>(span: Span, work: F) -> impl Future<Output = F::Output> + use<F> {
+pub fn in_span<F: Future>(span: Span, work: F) -> impl Future<Output = F::Output> + use<F> {
     work.in_span(span)
 }
 
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -59,13 +59,13 @@
 
 /// Result of an attempt to open a new connection to the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum Reachability {
     /// The upstream accepted the connection.
     Open,
     /// The connection was refused: nothing listens at the upstream's address.
     Refused,
     /// No reply in time: the host may be disconnected, without power or paused.
-    Silent,
+    TimedOut,
 }
 
 /// Classified response of the upstream.
@@ -143,7 +143,7 @@
     ///
     /// Failure: a host loses power, and its upstream restarts. Symptom: connections to the previous
     /// incarnation stay open without any traffic, and requests on them wait until their deadline.
-    pub fn restarted(&self) {
+    pub fn reset_after_restart(&self) {
         self.idle.lock().clear();
         self.starts.send_modify(|starts| *starts += 1);
     }
@@ -202,7 +202,7 @@
     ///
     /// # Errors
     /// If no valid response was received.
-    pub async fn ask(&self, address: SocketAddr, path: &str) -> Result<Parts, Error> {
+    pub async fn get(&self, address: SocketAddr, path: &str) -> Result<Parts, Error> {
         let mut request = Request::new(reply::empty());
         *request.uri_mut() = path.parse().map_err(|_| Error::NeverSent)?;
         let host = HeaderValue::try_from(address.to_string()).map_err(|_| Error::NeverSent)?;
@@ -221,11 +221,11 @@
     }
 
     /// Tries to open a new connection; if it opens, it goes to the pool.
-    pub async fn reach(&self, address: SocketAddr) -> Reach {
+    pub async fn try_connect(&self, address: SocketAddr) -> Reachability {
         let connecting = tokio::time::timeout(self.connect_timeout, TcpStream::connect(address));
         match connecting.await {
-            Err(_) => Reach::Silent,
-            Ok(Err(_)) => Reach::Refused,
+            Err(_) => Reachability::TimedOut,
+            Ok(Err(_)) => Reachability::Refused,
             Ok(Ok(stream)) => {
                 if let Some(connection) = self.open_on(address, stream).await {
                     let checkout = Checkout {
@@ -235,7 +235,7 @@
                     };
                     checkout.check_in();
                 }
-                Reach::Open
+                Reachability::Open
             }
         }
     }
--- a/crates/node/tests/discovery.rs
+++ b/crates/node/tests/discovery.rs
@@ -76,5 +76,5 @@
     );
     std::thread::sleep(CHECK_INTERVAL * 2);
     assert_eq!(checks.load(Ordering::SeqCst), sent);
-    node.end();
+    node.terminate();
 }
--- a/crates/node/tests/pace.rs
+++ b/crates/node/tests/pace.rs
@@ -69,7 +69,7 @@
     settings.probe.timeout = Duration::from_secs(1);
     let node = node::start(settings, Adapter::default()).expect("it starts");
     let is_discovered = || {
-        let has_peers = !node.context().latest.seen.borrow().is_empty();
+        let has_peers = !node.context().latest.upstreams.borrow().is_empty();
         has_peers && node.context().latest.guarded.borrow().closed.is_none()
     };
     wait_until("the upstream is discovered", is_discovered);
@@ -115,5 +115,5 @@
     let result = call.await.expect("the call ends");
     assert!(result.is_success(), "{result:?}");
     assert_eq!(state.requests.load(Ordering::SeqCst), 1);
-    node.end();
+    node.terminate();
 }
--- a/crates/node/tests/restart.rs
+++ b/crates/node/tests/restart.rs
@@ -107,7 +107,7 @@
 
 async fn until_open(node: &Node) {
     wait_for("the upstream is known", || {
-        let known = !node.context().latest.seen.borrow().is_empty();
+        let known = !node.context().latest.upstreams.borrow().is_empty();
         known && node.context().latest.guarded.borrow().closed.is_none()
     })
     .await;
@@ -186,7 +186,7 @@
     assert!(unknown, "{told:?}");
     assert!(began_at.elapsed() < WAIT_MOST, "told only at the deadline");
     assert!(call(callers).await.is_success());
-    node.end();
+    node.terminate();
 }
 
 /// Another writer announces an upstream at another address under an id of its own, or a message
@@ -218,5 +218,5 @@
     for _ in 0..5 {
         assert!(call(callers).await.is_success());
     }
-    node.end();
+    node.terminate();
 }
--- a/crates/node/tests/upstream.rs
+++ b/crates/node/tests/upstream.rs
@@ -123,7 +123,7 @@
     let restarting = async {
         tokio::time::sleep(Duration::from_millis(50)).await;
         if restarted {
-            upstream.restarted();
+            upstream.reset_after_restart();
         }
     };
     let (sent, ()) = tokio::join!(sending, restarting);
--- a/crates/node/tests/warm_up.rs
+++ b/crates/node/tests/warm_up.rs
@@ -82,7 +82,7 @@
     settings.gate.announcement_lapses = MAX_WAIT;
     let node = node::start(settings, Adapter::default()).expect("it starts");
     let give_up_at = Instant::now() + MAX_WAIT;
-    while node.context().latest.seen.borrow().is_empty()
+    while node.context().latest.upstreams.borrow().is_empty()
         || node.context().latest.guarded.borrow().closed.is_some()
     {
         assert!(
@@ -151,7 +151,7 @@
         served > 300,
         "{served} served in three warm seconds and four cold ones"
     );
-    node.end();
+    node.terminate();
 }
 
 /// A node restarts within a second beside a cold upstream. It must not assume that the upstream has
@@ -166,7 +166,7 @@
     for millis in [300, 150, 800] {
         let node = start(address);
         load(&node, Instant::now() + Duration::from_millis(millis)).await;
-        tokio::task::spawn_blocking(|| node.end())
+        tokio::task::spawn_blocking(|| node.terminate())
             .await
             .expect("the node ends");
     }
--- a/crates/standin/src/scene.rs
+++ b/crates/standin/src/scene.rs
@@ -410,7 +410,7 @@
     pub async fn kill(&mut self, index: usize) {
         match self.hosts[index].node.take() {
             Some(Running::Threads(node)) => {
-                let _ = tokio::task::spawn_blocking(move || node.end()).await;
+                let _ = tokio::task::spawn_blocking(move || node.terminate()).await;
             }
             Some(Running::Process(process)) => drop(process),
             None => {}
