--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -40,7 +40,7 @@
 
 /// History of a request, from all logs.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Story {
+pub struct History {
     /// Events in the order of their timestamps.
     pub events: Vec<Event>,
     /// Explanation of the outcome that the entry node logged.
@@ -54,15 +54,15 @@
 /// # Errors
 /// If a file cannot be read, or no line mentions the request.
 pub fn run(context: &Context, request: &str, files: &[PathBuf]) -> Result<(), Error> {
-    output::print(context.json, &read(request, files)?, text)
+    output::print(context.json, &read_history(request, files)?, text)
 }
 
 /// Reads the history of a request from the logs.
 ///
 /// # Errors
 /// If a file cannot be read, or no line mentions the request.
-pub fn read(request: &str, files: &[PathBuf]) -> Result<Story, Error> {
-    let mut history = Story::default();
+pub fn read_history(request: &str, files: &[PathBuf]) -> Result<History, Error> {
+    let mut history = History::default();
     for file in files {
         for line in BufReader::new(File::open(file)?).split(b'\n') {
             record_line(&mut history, request, &String::from_utf8_lossy(&line?));
@@ -77,7 +77,7 @@
 
 /// Adds a log line to the history if it belongs to the request. Log collectors may prefix lines
 /// with text of their own, so parsing starts at the first brace.
-fn record_line(history: &mut Story, request: &str, line: &str) {
+fn record_line(history: &mut History, request: &str, line: &str) {
     if line.trim().is_empty() {
         return;
     }
@@ -184,7 +184,7 @@
     }
 }
 
-fn text(history: &Story) -> String {
+fn text(history: &History) -> String {
     let rows: Vec<Vec<String>> = history
         .events
         .iter()
--- a/crates/node/tests/explain.rs
+++ b/crates/node/tests/explain.rs
@@ -9,7 +9,7 @@
 use common::{
     Plan, ROUTES, Scene, add_entry, bare_post, hosts, processes, table, within, write_table,
 };
-use mintridge_ctl::commands::explain::{self, Story};
+use mintridge_ctl::commands::explain::{self, History};
 use mintridge_node::operators::Status;
 use mintridge_node::settings::Settings;
 use mintridge_standin::upstream::Behaviour;
@@ -39,14 +39,14 @@
 }
 
 /// Returns the story of a request once the logs of the nodes contain its cause.
-async fn story(scene: &Scene, request: &str) -> Story {
+async fn story(scene: &Scene, request: &str) -> History {
     let timeout_at = Instant::now() + LOG_TIMEOUT;
     loop {
         let files: Vec<PathBuf> = (0..scene.hosts.len())
             .filter(|index| scene.hosts[*index].node.is_some())
             .map(|index| write_logs(scene, index))
             .collect();
-        let story = explain::read(request, &files);
+        let story = explain::read_history(request, &files);
         for file in files {
             let _ = fs::remove_file(file);
         }
