--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -58,7 +58,7 @@
 
 /// Outcome of a request as its caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Reply {
     /// A complete response of the upstream.
     Answer {
         /// Response status.
@@ -87,10 +87,10 @@
         begun: bool,
     },
     /// No complete response arrived, even some seconds after the deadline.
-    Silence,
+    TimedOut,
 }
 
-impl Told {
+impl Reply {
     /// Whether the upstream responded with a success status.
     #[must_use]
     pub fn is_success(&self) -> bool {
@@ -126,7 +126,7 @@
 #[derive(Clone, Debug)]
 pub struct TimedReply {
     /// Outcome of the request.
-    pub told: Told,
+    pub reply: Reply,
     /// Time until the response head arrived, or until the end if none did.
     pub time_to_head: Duration,
     /// Time until the response was complete or the request failed.
@@ -158,17 +158,17 @@
         let started_at = Instant::now();
         let reply_timeout = call.timeout + REPLY_GRACE;
         let mut time_to_head = None;
-        let told = tokio::time::timeout(
+        let reply = tokio::time::timeout(
             reply_timeout,
             self.exchange(address, call, |now| {
                 time_to_head = Some(now.duration_since(started_at));
             }),
         )
         .await
-        .unwrap_or(Told::Silence);
+        .unwrap_or(Reply::TimedOut);
         let took = started_at.elapsed();
         TimedReply {
-            told,
+            reply,
             time_to_head: time_to_head.unwrap_or(took),
             took,
         }
@@ -194,14 +194,14 @@
         address: SocketAddr,
         call: &Call,
         on_head: impl FnOnce(Instant),
-    ) -> Told {
+    ) -> Reply {
         let Some(request) = request(address, call) else {
-            return Told::Broken { begun: false };
+            return Reply::Broken { begun: false };
         };
         let response = match self.client.request(request).await {
             Ok(response) => response,
-            Err(error) if error.is_connect() => return Told::NoConnection,
-            Err(_) => return Told::Broken { begun: false },
+            Err(error) if error.is_connect() => return Reply::NoConnection,
+            Err(_) => return Reply::Broken { begun: false },
         };
         on_head(Instant::now());
         read(response).await
@@ -222,14 +222,14 @@
     builder.body(Full::new(call.body.clone())).ok()
 }
 
-async fn read(response: Response<Incoming>) -> Told {
+async fn read(response: Response<Incoming>) -> Reply {
     let (parts, body) = response.into_parts();
     let Ok(collected) = body.collect().await else {
-        return Told::Broken { begun: true };
+        return Reply::Broken { begun: true };
     };
     if let Some(refusal) = problem::read(Instant::now(), &parts.headers) {
         let retry_after = parts.headers.get(hyper::header::RETRY_AFTER);
-        return Told::Refused {
+        return Reply::Refused {
             status: parts.status,
             outcome: refusal.outcome,
             reason: refusal.reason,
@@ -242,7 +242,7 @@
     let host = host
         .and_then(|value| value.to_str().ok())
         .unwrap_or_default();
-    Told::Answer {
+    Reply::Answer {
         status: parts.status,
         host: host.to_owned(),
         body: collected.to_bytes(),
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -65,7 +65,7 @@
     /// When the request was scheduled to be sent.
     pub due: Instant,
     /// Outcome as the caller saw it.
-    pub heard: TimedReply,
+    pub timed_reply: TimedReply,
     /// Time from the scheduled start to the end of the response, so it includes any delay of the
     /// load generator itself.
     pub took: Duration,
@@ -107,12 +107,12 @@
     due: Instant,
     records: mpsc::Sender<Record>,
 ) {
-    let heard = caller.call(target, &call).await;
+    let timed_reply = caller.call(target, &call).await;
     let took = due.elapsed();
     let record = Record {
         call,
         due,
-        heard,
+        timed_reply,
         took,
     };
     let _ = records.send(record).await;
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::caller::Told;
+use crate::caller::Reply;
 use crate::load::Record;
 
 /// Maximum latency recorded, in microseconds.
@@ -70,8 +70,8 @@
     /// Adds the record of one request.
     pub fn add(&mut self, record: &Record) {
         self.sent += 1;
-        let outcome = match &record.heard.told {
-            Told::Answer { status, host, .. } => {
+        let outcome = match &record.timed_reply.reply {
+            Reply::Answer { status, host, .. } => {
                 *self.hosts.entry(host.clone()).or_default() += 1;
                 if status.is_success() {
                     let micros = u64::try_from(record.took.as_micros()).unwrap_or(u64::MAX);
@@ -79,15 +79,15 @@
                 }
                 format!("answered {}", status.as_u16())
             }
-            Told::Refused {
+            Reply::Refused {
                 outcome, reason, ..
             } => {
                 format!("{}: {}", outcome.as_str(), reason.as_str())
             }
-            Told::Broken { begun: true } => String::from("broken off"),
-            Told::Broken { begun: false } => String::from("no answer"),
-            Told::Silence => String::from("silence"),
-            Told::NoConnection => String::from("no connection"),
+            Reply::Broken { begun: true } => String::from("broken off"),
+            Reply::Broken { begun: false } => String::from("no answer"),
+            Reply::TimedOut => String::from("silence"),
+            Reply::NoConnection => String::from("no connection"),
         };
         *self.outcomes.entry(outcome).or_default() += 1;
     }
--- a/crates/node/tests/answers.rs
+++ b/crates/node/tests/answers.rs
@@ -10,7 +10,7 @@
     processes_and_entry, relayed, threads, within,
 };
 use hyper::Method;
-use mintridge_bench::caller::{Call, Told};
+use mintridge_bench::caller::{Call, Reply};
 use mintridge_core::outcome::{Outcome, Reason};
 use mintridge_node::settings::Settings;
 use mintridge_standin::relay::Condition;
@@ -38,7 +38,7 @@
 async fn answer_arrives_whole(#[case] length: usize) {
     let scene = processes(hosts(2)).await;
     for entry in 0..2 {
-        let Told::Answer { body, .. } = scene.call(entry, &bytes(length)).await else {
+        let Reply::Answer { body, .. } = scene.call(entry, &bytes(length)).await else {
             panic!("no answer");
         };
         assert_eq!(body.len(), length);
@@ -59,7 +59,7 @@
         timeout: Duration::from_secs(30),
         ..post("upload", "key")
     };
-    let Told::Answer { body, .. } = scene.call(0, &call).await else {
+    let Reply::Answer { body, .. } = scene.call(0, &call).await else {
         panic!("no answer");
     };
     let answer = Answer::parse(&body).expect("an answer of the stand-in");
@@ -83,7 +83,7 @@
             ..post(&format!("id-{n}"), &format!("key-{n}"))
         };
         let reply = scene.call(0, &call).await;
-        let Told::Answer { body, .. } = &reply else {
+        let Reply::Answer { body, .. } = &reply else {
             panic!("{reply:?}");
         };
         let answer = Answer::parse(body).expect("an answer of the stand-in");
@@ -98,7 +98,7 @@
     let scene = processes(hosts(1)).await;
     scene.behave(0, |behaviour| behaviour.manner = Manner::BreakAnswers);
     let reply = scene.call(0, &bytes(1_000_000)).await;
-    assert_eq!(reply, Told::Broken { begun: true });
+    assert_eq!(reply, Reply::Broken { begun: true });
 }
 
 /// The node beside the upstream is killed while it forwards a response. Guards against a truncated
@@ -109,7 +109,7 @@
     let entry = scene.addresses(1).callers;
     let caller = scene.caller.clone();
     let call = bytes(2_000_000_000);
-    let reading = tokio::spawn(async move { caller.call(entry, &call).await.told });
+    let reading = tokio::spawn(async move { caller.call(entry, &call).await.reply });
     wait_for("the answer begins", || {
         scene.hosts[0].upstream.account().open == 0 && scene.runs("bytes") == 1
     })
@@ -128,7 +128,7 @@
         client_account: String::from("printer-7"),
         ..within(3_000, post("deeper", "key"))
     };
-    let Told::Answer { body, .. } = scene.call(0, &call).await else {
+    let Reply::Answer { body, .. } = scene.call(0, &call).await else {
         panic!("no answer");
     };
     let answer = Answer::parse(&body).expect("an answer of the stand-in");
@@ -218,7 +218,7 @@
         "{:?}",
         started_at.elapsed()
     );
-    let Told::Refused { retry_after, .. } = reply else {
+    let Reply::Refused { retry_after, .. } = reply else {
         panic!("{reply:?}");
     };
     assert!(retry_after.is_some());
@@ -261,14 +261,14 @@
     let timed_reply = first.await.expect("the caller lives");
     assert!(
         matches!(
-            timed_reply.told,
-            Told::Refused {
+            timed_reply.reply,
+            Reply::Refused {
                 reason: Reason::LinkLost,
                 ..
             }
-        ) && timed_reply.told.is_unknown(),
+        ) && timed_reply.reply.is_unknown(),
         "{:?}",
-        timed_reply.told
+        timed_reply.reply
     );
     assert!(
         timed_reply.took < Duration::from_secs(15),
@@ -319,7 +319,7 @@
     let entry = scene.addresses(2).callers;
     let caller = scene.caller.clone();
     let call = within(20_000, get("lost"));
-    let calling = tokio::spawn(async move { caller.call(entry, &call).await.told });
+    let calling = tokio::spawn(async move { caller.call(entry, &call).await.reply });
     wait_for("the request runs", || scene.runs("lost") == 1).await;
     let has_run = |index: usize| {
         scene.hosts[index]
@@ -335,7 +335,7 @@
     assert!(
         matches!(
             reply,
-            Told::Refused {
+            Reply::Refused {
                 outcome: Outcome::Unknown,
                 reason: Reason::LinkLost,
                 ..
--- a/crates/node/tests/at_most_once.rs
+++ b/crates/node/tests/at_most_once.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{bare_post, hosts, post, processes, processes_and_entry, runs, within};
-use mintridge_bench::caller::{Call, Told};
+use mintridge_bench::caller::{Call, Reply};
 use mintridge_core::outcome::{Outcome, Reason};
 use mintridge_standin::scene::{Scene, wait_for};
 use mintridge_standin::store::Faults;
@@ -54,7 +54,7 @@
     scene.behave(0, |behaviour| behaviour.manner = Manner::Silent);
     let entry = scene.addresses(1).callers;
     let caller = scene.caller.clone();
-    let first = tokio::spawn(async move { caller.call(entry, &post("first", "key")).await.told });
+    let first = tokio::spawn(async move { caller.call(entry, &post("first", "key")).await.reply });
     wait_for("the request runs", || scene.runs("first") == 1).await;
     scene.kill(0).await;
     let reply = first.await.expect("the caller lives");
@@ -78,7 +78,7 @@
     common::all_behave(&scene, Manner::Silent);
     let entry = scene.addresses(2).callers;
     let caller = scene.caller.clone();
-    let first = tokio::spawn(async move { caller.call(entry, &call).await.told });
+    let first = tokio::spawn(async move { caller.call(entry, &call).await.reply });
     wait_for("the request runs", || scene.runs("first") == 1).await;
     let runs_on = |index: usize| scene.hosts[index].upstream.account().requests > 0;
     let killed = usize::from(!runs_on(0));
@@ -95,7 +95,7 @@
     index: usize,
     id: &str,
     key: &str,
-) -> Told {
+) -> Reply {
     loop {
         let reply = scene.call(index, &post(id, key)).await;
         if !reply.is_not_run() {
@@ -115,10 +115,10 @@
     }
     let entry = scene.addresses(0).callers;
     let caller = scene.caller.clone();
-    let first = tokio::spawn(async move { caller.call(entry, &post("first", "key")).await.told });
+    let first = tokio::spawn(async move { caller.call(entry, &post("first", "key")).await.reply });
     wait_for("the request runs", || scene.runs("first") == 1).await;
     scene.kill(0).await;
-    assert!(matches!(first.await, Ok(Told::Broken { .. })));
+    assert!(matches!(first.await, Ok(Reply::Broken { .. })));
     let reply = scene.call(1, &post("second", "key")).await;
     assert!(reply.is_unknown(), "{reply:?}");
     assert_eq!(runs(&scene, &["first", "second"]), 1);
@@ -141,7 +141,7 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     scene.process(0).signal(Signal::STOP).expect("paused");
     let timed_reply = first.await.expect("the caller lives");
-    assert!(timed_reply.told.is_unknown(), "{:?}", timed_reply.told);
+    assert!(timed_reply.reply.is_unknown(), "{:?}", timed_reply.reply);
     assert!(
         timed_reply.took < Duration::from_secs(4),
         "{:?}",
@@ -169,7 +169,7 @@
         ..Faults::default()
     });
     let reply = scene.call(0, &post("first", "key")).await;
-    let Told::Refused {
+    let Reply::Refused {
         outcome,
         reason,
         retry_after,
@@ -240,7 +240,7 @@
     for call in [post("keyed", "key"), bare_post("keyless")] {
         let call = within(500, call);
         let timed_reply = scene.caller.call(scene.addresses(0).callers, &call).await;
-        assert!(timed_reply.told.is_unknown(), "{:?}", timed_reply.told);
+        assert!(timed_reply.reply.is_unknown(), "{:?}", timed_reply.reply);
         assert!(
             timed_reply.took < Duration::from_secs(3),
             "{:?}",
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use hyper::Method;
-use mintridge_bench::caller::{Call, Told};
+use mintridge_bench::caller::{Call, Reply};
 use mintridge_bench::load::{self, Plan as Load};
 use mintridge_core::preset::Preset;
 use mintridge_core::route::{Destination, Kind, Route, Table, Version};
@@ -219,7 +219,7 @@
 /// Replies that callers received under load, to be checked against the requests that ran.
 #[derive(Default)]
 pub struct Account {
-    pub told: HashMap<String, Told>,
+    pub told: HashMap<String, Reply>,
     pub unrepeatable: Vec<String>,
 }
 
@@ -231,7 +231,7 @@
             if record.call.key.is_some() {
                 self.unrepeatable.push(id.clone());
             }
-            self.told.insert(id, record.heard.told.clone());
+            self.told.insert(id, record.timed_reply.reply.clone());
         })
         .await;
     }
@@ -242,7 +242,7 @@
             if reply.is_not_run() {
                 assert_eq!(scene.runs(id), 0, "{id} was refused as not run: {reply:?}");
             }
-            if let Told::Answer { body, status, .. } = reply
+            if let Reply::Answer { body, status, .. } = reply
                 && status.is_success()
             {
                 let answer = Answer::parse(body).expect("an answer of the stand-in");
@@ -255,7 +255,7 @@
     }
 
     /// Returns the number of replies of this kind.
-    pub fn count(&self, kind: impl Fn(&Told) -> bool) -> usize {
+    pub fn count(&self, kind: impl Fn(&Reply) -> bool) -> usize {
         self.told.values().filter(|reply| kind(reply)).count()
     }
 
@@ -286,9 +286,9 @@
 }
 
 /// Returns whether the caller got no complete response.
-pub const fn is_broken(reply: &Told) -> bool {
+pub const fn is_broken(reply: &Reply) -> bool {
     matches!(
         reply,
-        Told::NoConnection | Told::Broken { .. } | Told::Silence
+        Reply::NoConnection | Reply::Broken { .. } | Reply::TimedOut
     )
 }
--- a/crates/node/tests/crashes.rs
+++ b/crates/node/tests/crashes.rs
@@ -9,7 +9,7 @@
     Account, Plan, add_entry, bare_post, get, hosts, mixed_load, processes, processes_and_entry,
     within,
 };
-use mintridge_bench::caller::{Call, Told};
+use mintridge_bench::caller::{Call, Reply};
 use mintridge_core::outcome::{Outcome, Reason};
 use mintridge_node::settings::Settings;
 use mintridge_standin::scene::{Scene, wait_for};
@@ -55,7 +55,7 @@
     });
     let calls = calls.map(|call| {
         let caller = scene.caller.clone();
-        tokio::spawn(async move { caller.call(entry, &call).await.told })
+        tokio::spawn(async move { caller.call(entry, &call).await.reply })
     });
     for call in calls {
         assert!(call.await.expect("the caller lives").is_unknown());
@@ -195,10 +195,10 @@
     }
 }
 
-fn is_quarantined(result: &Told) -> bool {
+fn is_quarantined(result: &Reply) -> bool {
     matches!(
         result,
-        Told::Refused {
+        Reply::Refused {
             reason: Reason::Quarantined,
             outcome: Outcome::NotRun,
             ..
@@ -225,7 +225,7 @@
     let crashes = scene.crashes();
     let result = scene.call(0, &crashing_call).await;
     assert!(is_quarantined(&result), "{result:?}");
-    let Told::Refused { retry_after, .. } = result else {
+    let Reply::Refused { retry_after, .. } = result else {
         panic!("not refused");
     };
     assert!(retry_after.is_some_and(|seconds| seconds >= 1));
--- a/crates/node/tests/explain.rs
+++ b/crates/node/tests/explain.rs
@@ -106,7 +106,7 @@
     let is_running = |status: &Status| status.guarded.load.in_flight == 1;
     scene.until_of(&[0], "the slot is taken", is_running).await;
     scene.kill(0).await;
-    let reply = call.await.expect("the call ends").told;
+    let reply = call.await.expect("the call ends").reply;
     assert!(reply.is_unknown(), "{reply:?}");
     let story = story(&scene, "lost").await;
     assert!(story.cause.contains("link-lost (502)"), "{}", story.cause);
--- a/crates/node/tests/leaving.rs
+++ b/crates/node/tests/leaving.rs
@@ -79,7 +79,7 @@
     let entry = scene.addresses(0).callers;
     let caller = scene.caller.clone();
     let call = within(20_000, get("long"));
-    let long = tokio::spawn(async move { caller.call(entry, &call).await.told });
+    let long = tokio::spawn(async move { caller.call(entry, &call).await.reply });
     wait_for("the request runs", || scene.runs("long") == 1).await;
     scene.stop(0).await;
     assert!(long.await.expect("the caller lives").is_success());
@@ -200,7 +200,7 @@
         .map(|n| {
             let caller = scene.caller.clone();
             let call = within(30_000, get(&format!("early-{n}")));
-            tokio::spawn(async move { caller.call(entry, &call).await.told })
+            tokio::spawn(async move { caller.call(entry, &call).await.reply })
         })
         .collect();
     tokio::time::sleep(pause.saturating_sub(paused_at.elapsed())).await;
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -79,12 +79,12 @@
         let call = within(30_000, get(&format!("id-{n}")));
         sent.spawn(async move { caller.call(entry, &call).await });
     }
-    for reply in sent.join_all().await {
-        assert!(reply.told.is_not_run(), "{:?}", reply.told);
+    for timed_reply in sent.join_all().await {
+        assert!(timed_reply.reply.is_not_run(), "{:?}", timed_reply.reply);
         assert!(
-            reply.took < REFUSAL_TIMEOUT,
+            timed_reply.took < REFUSAL_TIMEOUT,
             "refused after {:?}",
-            reply.took
+            timed_reply.took
         );
     }
 }
@@ -127,11 +127,11 @@
     };
     wait_for("the request runs", || scene.runs("lost") == 1).await;
     relay.set(Condition::Silent);
-    let reply = calling.await.expect("the caller lives");
-    assert!(reply.told.is_unknown(), "{:?}", reply.told);
+    let timed_reply = calling.await.expect("the caller lives");
+    assert!(timed_reply.reply.is_unknown(), "{:?}", timed_reply.reply);
     assert!(
-        reply.took < LINK_LOSS_TIMEOUT,
+        timed_reply.took < LINK_LOSS_TIMEOUT,
         "replied after {:?}",
-        reply.took
+        timed_reply.took
     );
 }
--- a/crates/node/tests/pace.rs
+++ b/crates/node/tests/pace.rs
@@ -102,7 +102,7 @@
             timeout: Duration::from_mins(1),
             ..Call::default()
         };
-        Caller::default().call(address, &call).await.told
+        Caller::default().call(address, &call).await.reply
     });
     let initial_polls = state.polls.load(Ordering::SeqCst);
     let waits = || {
--- a/crates/node/tests/restart.rs
+++ b/crates/node/tests/restart.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use common::full;
-use mintridge_bench::caller::{Call, Caller, Told};
+use mintridge_bench::caller::{Call, Caller, Reply};
 use mintridge_core::outcome::{Outcome, Reason};
 use mintridge_node::adapter::Adapter;
 use mintridge_node::announcement::{Announcement, PATH};
@@ -113,12 +113,12 @@
     .await;
 }
 
-async fn call(address: SocketAddr) -> Told {
+async fn call(address: SocketAddr) -> Reply {
     let call = Call {
         timeout: WAIT_MOST,
         ..Call::default()
     };
-    Caller::default().call(address, &call).await.told
+    Caller::default().call(address, &call).await.reply
 }
 
 /// Guards against a start that is doubted since requests still waited for a connection to the one before.
@@ -145,11 +145,11 @@
         timeout: Duration::from_millis(300),
         ..Call::default()
     };
-    let told = Caller::default().call(callers, &call).await.told;
+    let told = Caller::default().call(callers, &call).await.reply;
     assert!(
         matches!(
             told,
-            Told::Refused {
+            Reply::Refused {
                 reason: Reason::Deadline,
                 ..
             }
@@ -182,7 +182,7 @@
     announce(&node, &announcement(address, 2_000, 1));
 
     let told = lost.await.expect("the call ends");
-    let unknown = matches!(&told, Told::Refused { outcome, .. } if *outcome == Outcome::Unknown);
+    let unknown = matches!(&told, Reply::Refused { outcome, .. } if *outcome == Outcome::Unknown);
     assert!(unknown, "{told:?}");
     assert!(began_at.elapsed() < WAIT_MOST, "told only at the deadline");
     assert!(call(callers).await.is_success());
--- a/crates/node/tests/routes.rs
+++ b/crates/node/tests/routes.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{Plan, ROUTES, Scene, get, processes, route, table, write_table};
-use mintridge_bench::caller::{Call, Told};
+use mintridge_bench::caller::{Call, Reply};
 use mintridge_core::outcome::Reason;
 use mintridge_core::route::{Route, Table};
 
@@ -102,7 +102,7 @@
         let reply = scene.call(entry, &call).await;
         let has_retry_after = matches!(
             reply,
-            Told::Refused {
+            Reply::Refused {
                 reason: Reason::Unconfigured,
                 retry_after: Some(1),
                 ..
--- a/crates/node/tests/strangers.rs
+++ b/crates/node/tests/strangers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{get, hosts, processes};
-use mintridge_bench::caller::{Call, Told};
+use mintridge_bench::caller::{Call, Reply};
 use mintridge_core::outcome::Reason;
 use mintridge_standin::scene::Scene;
 use rstest::rstest;
@@ -147,7 +147,7 @@
         ..common::post("deep", "key")
     };
     let reply = scene.call(0, &call).await;
-    assert!(matches!(reply, Told::Answer { .. }), "{reply:?}");
+    assert!(matches!(reply, Reply::Answer { .. }), "{reply:?}");
     assert_eq!(scene.runs("deep"), 1);
 }
 
@@ -177,7 +177,7 @@
     assert!(
         matches!(
             reply,
-            Told::Refused {
+            Reply::Refused {
                 reason: Reason::NoUpstream,
                 ..
             }
--- a/crates/node/tests/streams.rs
+++ b/crates/node/tests/streams.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use common::{bare_post, get, hosts, post, processes};
-use mintridge_bench::caller::{Call, Told};
+use mintridge_bench::caller::{Call, Reply};
 use mintridge_standin::cost::resident;
 use mintridge_standin::scene::Scene;
 use mintridge_standin::upstream::Result as Answer;
@@ -33,7 +33,7 @@
         ..get("download")
     };
     for entry in 0..2 {
-        let Told::Answer { body, .. } = scene.call(entry, &call).await else {
+        let Reply::Answer { body, .. } = scene.call(entry, &call).await else {
             panic!("no answer");
         };
         assert_eq!(body.len(), LARGE_BODY_BYTES);
@@ -52,7 +52,7 @@
             timeout: Duration::from_mins(1),
             ..post(&format!("upload-{entry}"), &format!("key-{entry}"))
         };
-        let Told::Answer { body, .. } = scene.call(entry, &call).await else {
+        let Reply::Answer { body, .. } = scene.call(entry, &call).await else {
             panic!("no answer");
         };
         let answer = Answer::parse(&body).expect("an answer of the stand-in");
--- a/crates/node/tests/uploads.rs
+++ b/crates/node/tests/uploads.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use common::{BEHIND, ENTRY, Scene, bare_post, get, relayed, within};
-use mintridge_bench::caller::{Call, Told};
+use mintridge_bench::caller::{Call, Reply};
 use mintridge_standin::relay::{Condition, Relay};
 use mintridge_standin::scene::wait_for;
 use mintridge_standin::upstream::Result as Answer;
@@ -43,7 +43,7 @@
     let (scene, relay) = relayed_with_open_link().await;
     relay.set(Condition::Slow(50));
     let reply = scene.call(ENTRY, &within(2_000, upload("upload"))).await;
-    let Told::Answer { body, .. } = &reply else {
+    let Reply::Answer { body, .. } = &reply else {
         panic!("{reply:?}");
     };
     let answer = Answer::parse(body).expect("an answer of the stand-in");
@@ -78,5 +78,5 @@
     let carried = relay.carried() - before;
     assert!(carried < MAX_CARRIED_BYTES, "{carried} bytes");
     let timed_reply = waiting.await.expect("the caller lives");
-    assert!(timed_reply.told.is_success(), "{:?}", timed_reply.told);
+    assert!(timed_reply.reply.is_success(), "{:?}", timed_reply.reply);
 }
--- a/crates/node/tests/warm_up.rs
+++ b/crates/node/tests/warm_up.rs
@@ -107,7 +107,7 @@
                     timeout: Duration::from_millis(500),
                     ..Call::default()
                 };
-                if caller.call(address, &call).await.told.is_success() {
+                if caller.call(address, &call).await.reply.is_success() {
                     served += 1;
                 } else {
                     tokio::time::sleep(Duration::from_millis(10)).await;
--- a/crates/standin/src/scene.rs
+++ b/crates/standin/src/scene.rs
@@ -14,7 +14,7 @@
 use hyper_util::client::legacy::Client as HttpClient;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
-use mintridge_bench::caller::{Call, Caller, Told};
+use mintridge_bench::caller::{Call, Caller, Reply};
 use mintridge_core::preset::{InForce, Preset};
 use mintridge_http::server::Phase;
 use mintridge_node::adapter::Adapter;
@@ -373,11 +373,11 @@
     }
 
     /// Sends a request to the node of a host and returns the reply.
-    pub async fn call(&self, index: usize, call: &Call) -> Told {
+    pub async fn call(&self, index: usize, call: &Call) -> Reply {
         self.caller
             .call(self.addresses(index).callers, call)
             .await
-            .told
+            .reply
     }
 
     /// Returns the process of a host's node.
--- a/crates/standin/src/soak/callers.rs
+++ b/crates/standin/src/soak/callers.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use hyper::Method;
-use mintridge_bench::caller::{Call, Caller, Told};
+use mintridge_bench::caller::{Call, Caller, Reply};
 use parking_lot::Mutex;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -37,7 +37,7 @@
     /// The request.
     pub call: Call,
     /// Result that the caller got.
-    pub result: Told,
+    pub result: Reply,
     /// Caller address of the node that the request was sent to.
     pub node: SocketAddr,
     /// Time until the result was complete.
@@ -79,7 +79,7 @@
                 let reply = caller.call(target, &call).await;
                 Record {
                     call,
-                    result: reply.told,
+                    result: reply.reply,
                     node: target,
                     took: reply.took,
                 }
--- a/crates/standin/src/soak/promises.rs
+++ b/crates/standin/src/soak/promises.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use mintridge_bench::caller::Told;
+use mintridge_bench::caller::Reply;
 
 use super::callers::{Record, Repeat};
 use crate::upstream::Result as Answer;
@@ -131,7 +131,7 @@
         if result.is_not_run() && runs > 0 {
             violations.push(Violation::RanDespiteNotRun { id: id.clone() });
         }
-        if let Told::Answer { body, .. } = result
+        if let Reply::Answer { body, .. } = result
             && result.is_success()
             && Answer::parse(body).is_none_or(|answer| answer.id != id)
         {
@@ -144,7 +144,7 @@
 /// Whether a connection closed without a response and its request did not run.
 #[must_use]
 pub fn is_closed_unanswered(record: &Record, runs: &BTreeMap<String, u32>) -> bool {
-    record.result == Told::Broken { begun: false } && !runs.contains_key(&record.call.id)
+    record.result == Reply::Broken { begun: false } && !runs.contains_key(&record.call.id)
 }
 
 /// Checks that planned operations cut off no request: each caller got a successful answer or a
@@ -153,7 +153,7 @@
 pub fn check_planned_work(records: &[Record], runs: &BTreeMap<String, u32>) -> Vec<Violation> {
     let is_cut_off = |record: &&Record| {
         let result = &record.result;
-        !result.is_success() && !result.is_not_run() && *result != Told::NoConnection
+        !result.is_success() && !result.is_not_run() && *result != Reply::NoConnection
     };
     records
         .iter()
--- a/crates/standin/tests/soak.rs
+++ b/crates/standin/tests/soak.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
-use mintridge_bench::caller::{Call, Told};
+use mintridge_bench::caller::{Call, Reply};
 use mintridge_core::outcome::{Outcome, Reason};
 use mintridge_standin::soak::callers::{Record, Repeat};
 use mintridge_standin::soak::plan::{Event, Mode, draw};
@@ -17,7 +17,7 @@
 
 const LOAD: Duration = Duration::from_secs(30);
 
-fn record(method: Method, result: Told) -> Record {
+fn record(method: Method, result: Reply) -> Record {
     let call = Call {
         id: String::from("a"),
         method,
@@ -31,19 +31,19 @@
     }
 }
 
-fn answer_of(id: &str) -> Told {
+fn answer_of(id: &str) -> Reply {
     let body = format!(
         r#"{{"host":"h","id":"{id}","client_account":"c","left_millis":"1","body_bytes":0,"body_digest":""}}"#
     );
-    Told::Answer {
+    Reply::Answer {
         status: StatusCode::OK,
         host: String::from("h"),
         body: Bytes::from(body),
     }
 }
 
-const fn refused(outcome: Outcome) -> Told {
-    Told::Refused {
+const fn refused(outcome: Outcome) -> Reply {
+    Reply::Refused {
         status: StatusCode::SERVICE_UNAVAILABLE,
         outcome,
         reason: Reason::Late,
@@ -65,7 +65,7 @@
 #[case::foreign(Method::GET, answer_of("b"), 1, Some(Violation::ForeignAnswer { id: id() }))]
 fn check_answers_reports(
     #[case] method: Method,
-    #[case] result: Told,
+    #[case] result: Reply,
     #[case] runs: u32,
     #[case] expected: Option<Violation>,
 ) {
@@ -77,15 +77,15 @@
 #[rstest]
 #[case::answered(answer_of("a"), 1, 1, 0)]
 #[case::refused(refused(Outcome::NotRun), 0, 1, 0)]
-#[case::process_gone(Told::NoConnection, 0, 1, 0)]
-#[case::cut_while_it_ran(Told::Broken { begun: false }, 1, 1, 1)]
-#[case::closed_unanswered(Told::Broken { begun: false }, 0, 1, 1)]
-#[case::cut_again_and_again(Told::Broken { begun: false }, 0, 3, 3)]
-#[case::cut_midway(Told::Broken { begun: true }, 0, 1, 1)]
-#[case::silence(Told::Silence, 0, 1, 1)]
+#[case::process_gone(Reply::NoConnection, 0, 1, 0)]
+#[case::cut_while_it_ran(Reply::Broken { begun: false }, 1, 1, 1)]
+#[case::closed_unanswered(Reply::Broken { begun: false }, 0, 1, 1)]
+#[case::cut_again_and_again(Reply::Broken { begun: false }, 0, 3, 3)]
+#[case::cut_midway(Reply::Broken { begun: true }, 0, 1, 1)]
+#[case::silence(Reply::TimedOut, 0, 1, 1)]
 #[case::unknown(refused(Outcome::Unknown), 0, 1, 1)]
 fn check_planned_work_reports(
-    #[case] result: Told,
+    #[case] result: Reply,
     #[case] runs: u32,
     #[case] times: usize,
     #[case] expected: usize,
--- a/crates/try/src/main.rs
+++ b/crates/try/src/main.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use mintridge_bench::caller::Told;
+use mintridge_bench::caller::Reply;
 use mintridge_bench::load::{self, Plan as Load, Record};
 use mintridge_bench::report::Report;
 use mintridge_standin::scene::{Plan, Scene};
@@ -84,7 +84,7 @@
 /// Replies that callers received, to be checked against the runs that the upstreams counted.
 #[derive(Default)]
 struct ReplyLog {
-    replies: HashMap<String, Told>,
+    replies: HashMap<String, Reply>,
     unrepeatable: Vec<String>,
 }
 
@@ -94,7 +94,7 @@
         if record.call.key.is_some() {
             self.unrepeatable.push(id.clone());
         }
-        self.replies.insert(id, record.heard.told.clone());
+        self.replies.insert(id, record.timed_reply.reply.clone());
     }
 
     fn check(&self, scene: &Scene) -> ExitCode {
@@ -129,16 +129,16 @@
 }
 
 /// Whether the response belongs to another request.
-fn is_foreign(id: &str, reply: &Told) -> bool {
-    let Told::Answer { body, .. } = reply else {
+fn is_foreign(id: &str, reply: &Reply) -> bool {
+    let Reply::Answer { body, .. } = reply else {
         return false;
     };
     Answer::parse(body).is_none_or(|answer| answer.id != id)
 }
 
-const fn is_broken(reply: &Told) -> bool {
+const fn is_broken(reply: &Reply) -> bool {
     matches!(
         reply,
-        Told::NoConnection | Told::Broken { .. } | Told::Silence
+        Reply::NoConnection | Reply::Broken { .. } | Reply::TimedOut
     )
 }
