--- a/crates/node/tests/answers.rs
+++ b/crates/node/tests/answers.rs
@@ -15,7 +15,7 @@
 use mintridge_node::settings::Settings;
 use mintridge_standin::relay::Condition;
 use mintridge_standin::scene::wait_for;
-use mintridge_standin::upstream::{Manner, Result as Answer};
+use mintridge_standin::upstream::{Echo, Mode};
 use rstest::rstest;
 use rustix::process::Signal;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -62,7 +62,7 @@
     let Reply::Answer { body, .. } = scene.call(0, &call).await else {
         panic!("no answer");
     };
-    let answer = Answer::parse(&body).expect("an answer of the stand-in");
+    let answer = Echo::parse(&body).expect("an answer of the stand-in");
     assert_eq!(
         (answer.body_bytes, answer.body_digest),
         (length as u64, digest)
@@ -86,7 +86,7 @@
         let Reply::Answer { body, .. } = &reply else {
             panic!("{reply:?}");
         };
-        let answer = Answer::parse(body).expect("an answer of the stand-in");
+        let answer = Echo::parse(body).expect("an answer of the stand-in");
         assert_eq!(answer.body_digest, digest);
     }
 }
@@ -96,7 +96,7 @@
 #[tokio::test]
 async fn broken_answer_is_seen_broken() {
     let scene = processes(hosts(1)).await;
-    scene.behave(0, |behaviour| behaviour.manner = Manner::BreakAnswers);
+    scene.update_behaviour(0, |behaviour| behaviour.manner = Mode::BreakAnswers);
     let reply = scene.call(0, &bytes(1_000_000)).await;
     assert_eq!(reply, Reply::Broken { begun: true });
 }
@@ -111,7 +111,7 @@
     let call = bytes(2_000_000_000);
     let reading = tokio::spawn(async move { caller.call(entry, &call).await.reply });
     wait_for("the answer begins", || {
-        scene.hosts[0].upstream.account().open == 0 && scene.runs("bytes") == 1
+        scene.hosts[0].upstream.counts().open == 0 && scene.runs("bytes") == 1
     })
     .await;
     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -131,7 +131,7 @@
     let Reply::Answer { body, .. } = scene.call(0, &call).await else {
         panic!("no answer");
     };
-    let answer = Answer::parse(&body).expect("an answer of the stand-in");
+    let answer = Echo::parse(&body).expect("an answer of the stand-in");
     assert_eq!(answer.client_account, "printer-7");
     let left: u64 = answer.left_millis.parse().expect("a number");
     assert!(left > 0 && left <= 3_000, "{left}");
@@ -163,17 +163,17 @@
 #[tokio::test]
 async fn hang_up_cancels_the_work() {
     let scene = processes(hosts(1)).await;
-    scene.behave(0, |behaviour| behaviour.manner = Manner::Silent);
+    scene.update_behaviour(0, |behaviour| behaviour.manner = Mode::Silent);
     let entry = scene.addresses(0).callers;
     let caller = scene.caller.clone();
     let call = within(60_000, get("given-up"));
     let calling = tokio::spawn(async move { caller.call(entry, &call).await });
-    let open = || scene.hosts[0].upstream.account().open;
+    let open = || scene.hosts[0].upstream.counts().open;
     wait_for("it runs", || open() == 1).await;
     calling.abort();
     wait_for("it is cancelled", || open() == 0).await;
     scene
-        .until_of(&[0], "its slot is free", |status| {
+        .wait_until_on(&[0], "its slot is free", |status| {
             status.guarded.load.in_flight == 0
         })
         .await;
@@ -187,7 +187,7 @@
 #[tokio::test]
 async fn deadline_is_kept(#[case] guard_paused: bool) {
     let scene = processes_and_entry(1).await;
-    scene.behave(0, |behaviour| behaviour.manner = Manner::Silent);
+    scene.update_behaviour(0, |behaviour| behaviour.manner = Mode::Silent);
     if guard_paused {
         scene.process(0).signal(Signal::STOP).expect("paused");
     }
@@ -235,12 +235,12 @@
             .await
             .is_success()
     );
-    relay.lose_open_connections();
+    relay.stall_open_connections();
     tokio::time::sleep(Duration::from_millis(1_300)).await;
     let reply = scene.call(ENTRY, &post("after", "key-2")).await;
     assert!(reply.is_success(), "{reply:?}");
     assert_eq!(
-        scene.hosts[BEHIND].upstream.account().runs.get("after"),
+        scene.hosts[BEHIND].upstream.counts().runs.get("after"),
         Some(&1)
     );
 }
@@ -251,13 +251,13 @@
 #[tokio::test]
 async fn link_silent_under_a_request_ends_as_unknown() {
     let (scene, relay) = relayed().await;
-    scene.behave(BEHIND, |behaviour| behaviour.service_micros = 400_000);
+    scene.update_behaviour(BEHIND, |behaviour| behaviour.service_micros = 400_000);
     let entry = scene.addresses(ENTRY).callers;
     let caller = scene.caller.clone();
     let call = within(30_000, post("first", "key"));
     let first = tokio::spawn(async move { caller.call(entry, &call).await });
     wait_for("it runs", || scene.runs("first") == 1).await;
-    relay.lose_open_connections();
+    relay.stall_open_connections();
     let timed_reply = first.await.expect("the caller lives");
     assert!(
         matches!(
@@ -314,7 +314,7 @@
 async fn refusal_after_a_lost_link_has_its_reason() {
     let mut scene = processes_and_entry(2).await;
     for index in 0..2 {
-        scene.behave(index, |behaviour| behaviour.manner = Manner::Silent);
+        scene.update_behaviour(index, |behaviour| behaviour.manner = Mode::Silent);
     }
     let entry = scene.addresses(2).callers;
     let caller = scene.caller.clone();
@@ -324,7 +324,7 @@
     let has_run = |index: usize| {
         scene.hosts[index]
             .upstream
-            .account()
+            .counts()
             .runs
             .contains_key("lost")
     };
--- a/crates/node/tests/at_most_once.rs
+++ b/crates/node/tests/at_most_once.rs
@@ -9,7 +9,7 @@
 use mintridge_core::outcome::{Outcome, Reason};
 use mintridge_standin::scene::{Scene, wait_for};
 use mintridge_standin::store::Faults;
-use mintridge_standin::upstream::Manner;
+use mintridge_standin::upstream::Mode;
 use mintridge_store::keys::{CLAIMS, SEEDS};
 use rstest::rstest;
 use rustix::process::Signal;
@@ -51,7 +51,7 @@
 #[tokio::test]
 async fn repeat_after_guard_is_killed_runs_once() {
     let mut scene = processes_and_entry(1).await;
-    scene.behave(0, |behaviour| behaviour.manner = Manner::Silent);
+    scene.update_behaviour(0, |behaviour| behaviour.manner = Mode::Silent);
     let entry = scene.addresses(1).callers;
     let caller = scene.caller.clone();
     let first = tokio::spawn(async move { caller.call(entry, &post("first", "key")).await.reply });
@@ -59,9 +59,9 @@
     scene.kill(0).await;
     let reply = first.await.expect("the caller lives");
     assert!(reply.is_unknown(), "{reply:?}");
-    scene.behave(0, |behaviour| behaviour.manner = Manner::Serve);
+    scene.update_behaviour(0, |behaviour| behaviour.manner = Mode::Serve);
     scene.start_node(0).expect("starts");
-    scene.until_joined().await;
+    scene.wait_until_joined().await;
     let reply = retry_while_not_run(&scene, 1, "second", "key").await;
     assert!(reply.is_unknown(), "{reply:?}");
     assert_eq!(runs(&scene, &["first", "second"]), 1);
@@ -75,12 +75,12 @@
 #[tokio::test]
 async fn killed_guard_is_not_followed_by_another_host(#[case] call: Call) {
     let mut scene = processes_and_entry(2).await;
-    common::all_behave(&scene, Manner::Silent);
+    common::all_behave(&scene, Mode::Silent);
     let entry = scene.addresses(2).callers;
     let caller = scene.caller.clone();
     let first = tokio::spawn(async move { caller.call(entry, &call).await.reply });
     wait_for("the request runs", || scene.runs("first") == 1).await;
-    let runs_on = |index: usize| scene.hosts[index].upstream.account().requests > 0;
+    let runs_on = |index: usize| scene.hosts[index].upstream.counts().requests > 0;
     let killed = usize::from(!runs_on(0));
     scene.kill(killed).await;
     let reply = first.await.expect("the caller lives");
@@ -111,7 +111,7 @@
 async fn repeat_after_entry_is_killed_runs_once() {
     let mut scene = processes(hosts(3)).await;
     for index in 0..3 {
-        scene.behave(index, |behaviour| behaviour.service_micros = 300_000);
+        scene.update_behaviour(index, |behaviour| behaviour.service_micros = 300_000);
     }
     let entry = scene.addresses(0).callers;
     let caller = scene.caller.clone();
@@ -236,7 +236,7 @@
 #[tokio::test]
 async fn silent_upstream_is_not_retried() {
     let scene = processes(hosts(3)).await;
-    common::all_behave(&scene, Manner::Silent);
+    common::all_behave(&scene, Mode::Silent);
     for call in [post("keyed", "key"), bare_post("keyless")] {
         let call = within(500, call);
         let timed_reply = scene.caller.call(scene.addresses(0).callers, &call).await;
@@ -306,7 +306,7 @@
 #[tokio::test]
 async fn not_run_stays_true_after_a_first_attempt_that_ran(#[case] second_refuses: bool) {
     let scene = processes(hosts(2)).await;
-    common::all_behave(&scene, Manner::FailSlowly);
+    common::all_behave(&scene, Mode::FailSlowly);
     if second_refuses {
         scene.end_upstream(1);
     }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -17,7 +17,7 @@
 use mintridge_standin::relay::Relay;
 use mintridge_standin::scene::loopback;
 pub use mintridge_standin::scene::{Plan, Scene};
-use mintridge_standin::upstream::{Manner, Result as Answer};
+use mintridge_standin::upstream::{Echo, Mode};
 use socket2::{Domain, Socket, Type};
 
 /// Starts a scene in which the nodes run as threads of this process.
@@ -36,7 +36,7 @@
 pub async fn processes_and_entry(count: usize) -> Scene {
     let mut scene = processes(hosts(count)).await;
     add_entry(&mut scene).await;
-    scene.until_joined().await;
+    scene.wait_until_joined().await;
     scene
 }
 
@@ -156,10 +156,10 @@
     }
 }
 
-/// Sets this manner for every upstream.
-pub fn all_behave(scene: &Scene, manner: Manner) {
+/// Sets this mode for every upstream.
+pub fn all_behave(scene: &Scene, mode: Mode) {
     for index in 0..scene.hosts.len() {
-        scene.behave(index, |behaviour| behaviour.manner = manner);
+        scene.update_behaviour(index, |behaviour| behaviour.manner = mode);
     }
 }
 
@@ -184,7 +184,7 @@
     behind.await.expect("it starts");
     let target = scene.addresses(BEHIND).peers;
     tokio::spawn(Arc::clone(&relay).run(listener, target));
-    scene.until_joined().await;
+    scene.wait_until_joined().await;
     scene.stop(0).await;
     add_entry(&mut scene).await;
     until_known_behind(&scene, ENTRY).await;
@@ -195,7 +195,7 @@
 pub async fn until_known_behind(scene: &Scene, index: usize) {
     let knows = |status: &Status| status.seen.iter().any(|seen| &*seen.host == "behind");
     scene
-        .until_of(&[index], "the entry knows the host", knows)
+        .wait_until_on(&[index], "the entry knows the host", knows)
         .await;
 }
 
@@ -210,7 +210,7 @@
 /// Waits until this revision or a later one is in force on every node.
 pub async fn until_revision(scene: &Scene, revision: u64) {
     scene
-        .until("the revision is in force everywhere", |status| {
+        .wait_until("the revision is in force everywhere", |status| {
             status.view.in_force.revision.0 >= revision
         })
         .await;
@@ -245,7 +245,7 @@
             if let Reply::Answer { body, status, .. } = reply
                 && status.is_success()
             {
-                let answer = Answer::parse(body).expect("an answer of the stand-in");
+                let answer = Echo::parse(body).expect("an answer of the stand-in");
                 assert_eq!(&answer.id, id, "the response belongs to another request");
             }
         }
--- a/crates/node/tests/configuration.rs
+++ b/crates/node/tests/configuration.rs
@@ -47,7 +47,7 @@
         });
         added.await.expect("it starts");
     }
-    scene.until_joined().await;
+    scene.wait_until_joined().await;
     write_version(&scene, 1);
     wait_for_version(&scene, &ALL_HOSTS, 1).await;
     (scene, relays)
@@ -59,7 +59,7 @@
 
 async fn wait_for_version(scene: &Scene, hosts: &[usize], version: u64) {
     scene
-        .until_of(hosts, "the version is in force", |status| {
+        .wait_until_on(hosts, "the version is in force", |status| {
             status.routes_version == version
         })
         .await;
@@ -124,7 +124,7 @@
 async fn change_is_in_force_when_store_connections_go_silent() {
     let (scene, relays) = start_with_relays().await;
     for relay in relays {
-        relay.lose_open_connections();
+        relay.stall_open_connections();
     }
     check_change_is_in_force_in_time(&scene, &ALL_HOSTS).await;
 }
--- a/crates/node/tests/crashes.rs
+++ b/crates/node/tests/crashes.rs
@@ -47,7 +47,7 @@
 async fn crash_is_logged_with_all_requests_in_progress() {
     let scene = processes_and_entry(1).await;
     scene.crash_on(Some(CRASHES));
-    scene.behave(0, |behaviour| behaviour.service_micros = 500_000);
+    scene.update_behaviour(0, |behaviour| behaviour.service_micros = 500_000);
     let entry = scene.addresses(1).callers;
     let calls = ["/a", "/b", CRASHES].map(|path| Call {
         path: path.to_owned(),
@@ -77,16 +77,16 @@
 #[tokio::test]
 async fn end_of_an_upstream_is_told_without_what_its_next_start_got() {
     let scene = processes(hosts(1)).await;
-    scene.announce_start(0);
+    scene.announce_restart(0);
     scene.crash_on(Some(CRASHES));
-    scene.behave(0, |behaviour| {
+    scene.update_behaviour(0, |behaviour| {
         behaviour.down_millis = 300;
         behaviour.unannounced_millis = 500;
     });
     scene.call(0, &crashing("ends")).await;
     let logged_crashes = || lines(&scene, 0, "upstream ended with requests in progress").len();
     wait_for("the crash is logged", || logged_crashes() == 1).await;
-    scene.behave(0, |behaviour| behaviour.service_micros = 2_000_000);
+    scene.update_behaviour(0, |behaviour| behaviour.service_micros = 2_000_000);
     let give_up_at = Instant::now() + MAX_WAIT;
     while scene.runs("after") == 0 {
         assert!(Instant::now() < give_up_at, "the request never ran");
@@ -103,13 +103,13 @@
 #[tokio::test]
 async fn aborted_response_of_a_running_upstream_is_no_crash() {
     let scene = processes(hosts(1)).await;
-    common::all_behave(&scene, mintridge_standin::upstream::Manner::BreakAnswers);
+    common::all_behave(&scene, mintridge_standin::upstream::Mode::BreakAnswers);
     let broken = Call {
         path: format!("{BYTES}1000"),
         ..get("broken")
     };
     assert!(!scene.call(0, &broken).await.is_success());
-    common::all_behave(&scene, mintridge_standin::upstream::Manner::Serve);
+    common::all_behave(&scene, mintridge_standin::upstream::Mode::Serve);
     assert!(scene.call(0, &get("last")).await.is_success());
     assert!(lines(&scene, 0, "upstream ended").is_empty());
 }
@@ -131,7 +131,7 @@
     let scene = processes(hosts(6)).await;
     scene.crash_on(Some(CRASHES));
     for index in 0..6 {
-        scene.behave(index, |behaviour| behaviour.down_millis = down_millis);
+        scene.update_behaviour(index, |behaviour| behaviour.down_millis = down_millis);
     }
     let others = mixed_load(&scene, 60.0, LOAD_DURATION.as_secs_f64());
     let others = tokio::spawn(async move {
@@ -271,7 +271,7 @@
     scene.kill(0).await;
     scene.start_node(0).expect("it starts");
     add_entry(&mut scene).await;
-    scene.until_joined().await;
+    scene.wait_until_joined().await;
     let crashes = scene.crashes();
     for entry in [0, 3] {
         for n in 0..10 {
@@ -370,7 +370,7 @@
     for index in 0..3 {
         scene.start_node(index).expect("it starts");
     }
-    scene.until_joined().await;
+    scene.wait_until_joined().await;
     for n in 0..30 {
         let result = scene.call(n % 3, &crashing(&format!("after-{n}"))).await;
         assert!(result.is_not_run(), "{result:?}");
--- a/crates/node/tests/drill.rs
+++ b/crates/node/tests/drill.rs
@@ -20,7 +20,7 @@
 
 /// Puts a preset in force and waits until every node reports it.
 async fn put_in_force(scene: &Scene, retry_share: f64, mark: &str) -> InForce {
-    let put = scene.put_in_force(preset(retry_share), mark).await;
+    let put = scene.activate_preset(preset(retry_share), mark).await;
     let in_force = put.expect("accepted");
     until_revision(scene, in_force.revision.0).await;
     in_force
@@ -40,11 +40,11 @@
 async fn change_accepted_before_the_loss_stays_in_force() {
     let mut scene = processes(hosts(4)).await;
     put_in_force(&scene, 0.1, "first").await;
-    scene.store.take_copy();
+    scene.store.take_backup();
     let second = put_in_force(&scene, 0.2, "second").await;
     scene.kill(3).await;
     let drill = Drill {
-        operators_repeat_after: Duration::from_secs(8),
+        rewrite_delay: Duration::from_secs(8),
         ..Drill::default()
     };
     scene.store.drill(drill).await;
@@ -70,14 +70,14 @@
 async fn change_after_the_return_is_in_force() {
     let scene = processes(hosts(3)).await;
     put_in_force(&scene, 0.1, "first").await;
-    scene.store.take_copy();
+    scene.store.take_backup();
     for n in 0..20 {
         let key = format!("key-{n}");
         assert!(scene.call(n % 3, &post(&key, &key)).await.is_success());
     }
     scene.store.drill(Drill::default()).await;
     let second = scene
-        .put_in_force(preset(0.2), "second")
+        .activate_preset(preset(0.2), "second")
         .await
         .expect("accepted");
     let accepted_at = Instant::now();
@@ -93,7 +93,7 @@
     until_entries(&scene, 3).await;
     for loss in 0..2 {
         scene.store.remove_all(SEEDS);
-        scene.store.take_copy();
+        scene.store.take_backup();
         until_entries(&scene, 3).await;
         scene.store.drill(Drill::default()).await;
         let restored_at = Instant::now();
@@ -110,7 +110,7 @@
 async fn repeat_of_a_claim_that_was_lost_runs_once() {
     let scene = processes(hosts(3)).await;
     until_entries(&scene, 3).await;
-    scene.store.take_copy();
+    scene.store.take_backup();
     assert!(scene.call(0, &post("first", "key")).await.is_success());
     scene.store.drill(Drill::default()).await;
     let result = scene.call(1, &post("second", "key")).await;
@@ -126,7 +126,7 @@
     let scene = processes(hosts(3)).await;
     until_entries(&scene, 3).await;
     scene.store.remove_all(SEEDS);
-    scene.store.take_copy();
+    scene.store.take_backup();
     until_entries(&scene, 3).await;
     let second = put_in_force(&scene, 0.2, "second").await;
     scene.process(2).signal(Signal::STOP).expect("paused");
@@ -144,9 +144,9 @@
 async fn loss_of_all_nodes_during_the_drill_ends_with_the_repeated_preset() {
     let mut scene = processes(hosts(3)).await;
     put_in_force(&scene, 0.1, "first").await;
-    scene.store.take_copy();
+    scene.store.take_backup();
     let second = scene
-        .put_in_force(preset(0.2), "second")
+        .activate_preset(preset(0.2), "second")
         .await
         .expect("accepted");
     for index in 0..3 {
@@ -156,7 +156,7 @@
     for index in 0..3 {
         scene.start_node(index).expect("starts");
     }
-    scene.until_joined().await;
+    scene.wait_until_joined().await;
     until_revision(&scene, second.revision.0).await;
 }
 
@@ -168,7 +168,7 @@
     let mut newest = put_in_force(&scene, 0.1, "first").await;
     for loss in 0..2_u32 {
         until_revision(&scene, newest.revision.0).await;
-        scene.store.take_copy();
+        scene.store.take_backup();
         let share = 0.2 + f64::from(loss) / 10.0;
         let mark = format!("change-{loss}");
         newest = put_in_force(&scene, share, &mark).await;
@@ -179,7 +179,7 @@
             assert!(result.is_success(), "{result:?}");
         }
         scene.start_node(2).expect("starts");
-        scene.until_joined().await;
+        scene.wait_until_joined().await;
     }
     until_revision(&scene, newest.revision.0).await;
 }
--- a/crates/node/tests/evacuation.rs
+++ b/crates/node/tests/evacuation.rs
@@ -31,7 +31,7 @@
     let scene = processes(plan).await;
     write_table(&scene, &table(1, vec![route("/")]));
     let in_force = |status: &Status| status.routes_version == 1;
-    scene.until("the routes are in force", in_force).await;
+    scene.wait_until("the routes are in force", in_force).await;
     scene
 }
 
@@ -45,7 +45,7 @@
         puts: vec![put],
         ..Swap::default()
     };
-    assert!(scene.operator().swap(&swap).await.expect("written"));
+    assert!(scene.operator_client().swap(&swap).await.expect("written"));
 }
 
 async fn take_back(scene: &Scene, zone: &str) {
@@ -53,7 +53,7 @@
         deletes: vec![format!("{EVACUATIONS}{zone}")],
         ..Swap::default()
     };
-    assert!(scene.operator().swap(&swap).await.expect("deleted"));
+    assert!(scene.operator_client().swap(&swap).await.expect("deleted"));
 }
 
 fn evacuated(status: &Status, zone: &str) -> bool {
@@ -63,14 +63,16 @@
 async fn until_evacuated(scene: &Scene, zone: &str, expected: bool) {
     let begun_at = Instant::now();
     let holds = |status: &Status| evacuated(status, zone) == expected;
-    scene.until("the evacuations are in force", holds).await;
+    scene
+        .wait_until("the evacuations are in force", holds)
+        .await;
     let took = begun_at.elapsed();
     assert!(took < IN_FORCE_WITHIN, "{took:?}");
 }
 
 /// Requests that reached these hosts.
 fn arrived(scene: &Scene, hosts: &[usize]) -> u64 {
-    let requests = |index: &usize| scene.hosts[*index].upstream.account().requests;
+    let requests = |index: &usize| scene.hosts[*index].upstream.counts().requests;
     hosts.iter().map(requests).sum()
 }
 
@@ -114,7 +116,7 @@
         scene.start_node(index).expect("starts");
     }
     let joined = |status: &Status| status.routes_version == 1 && status.view.members.len() == 6;
-    scene.until("all hosts are known", joined).await;
+    scene.wait_until("all hosts are known", joined).await;
     until_evacuated(&scene, "zone-b", true).await;
     let before = arrived(&scene, &IN_ZONE_B);
     call_through_all(&scene, "started").await;
@@ -135,7 +137,7 @@
         scene.start_node(index).expect("starts");
     }
     let joined = |status: &Status| status.routes_version == 1 && status.view.members.len() == 6;
-    scene.until("all hosts are known", joined).await;
+    scene.wait_until("all hosts are known", joined).await;
     until_evacuated(&scene, "zone-b", true).await;
 }
 
@@ -143,11 +145,11 @@
 #[tokio::test]
 async fn evacuation_outlasts_a_return_of_the_store_from_a_copy() {
     let scene = scene().await;
-    scene.store.take_copy();
+    scene.store.take_backup();
     evacuate(&scene, "zone-b").await;
     until_evacuated(&scene, "zone-b", true).await;
     let drill = Drill {
-        operators_repeat_after: Duration::from_secs(2),
+        rewrite_delay: Duration::from_secs(2),
         ..Drill::default()
     };
     scene.store.drill(drill).await;
--- a/crates/node/tests/explain.rs
+++ b/crates/node/tests/explain.rs
@@ -77,7 +77,7 @@
     let caller = scene.caller.clone();
     let first = tokio::spawn(async move { caller.call(entry, &bare_post("first")).await });
     scene
-        .until("the slot is taken", |status| {
+        .wait_until("the slot is taken", |status| {
             status.guarded.load.in_flight == 1
         })
         .await;
@@ -99,12 +99,14 @@
 async fn story_of_an_unknown_outcome() {
     let mut scene = processes(one_slot()).await;
     add_entry(&mut scene).await;
-    scene.until_joined().await;
+    scene.wait_until_joined().await;
     let entry = scene.addresses(ENTRY).callers;
     let caller = scene.caller.clone();
     let call = tokio::spawn(async move { caller.call(entry, &bare_post("lost")).await });
     let is_running = |status: &Status| status.guarded.load.in_flight == 1;
-    scene.until_of(&[0], "the slot is taken", is_running).await;
+    scene
+        .wait_until_on(&[0], "the slot is taken", is_running)
+        .await;
     scene.kill(0).await;
     let reply = call.await.expect("the call ends").reply;
     assert!(reply.is_unknown(), "{reply:?}");
@@ -126,7 +128,7 @@
     let scene = processes(Plan { adjust, ..hosts(1) }).await;
     write_table(&scene, &table(7, vec![]));
     scene
-        .until("the table is in force", |status| status.routes_version == 7)
+        .wait_until("the table is in force", |status| status.routes_version == 7)
         .await;
     let reply = scene.call(0, &bare_post("gone")).await;
     assert!(reply.is_not_run(), "{reply:?}");
--- a/crates/node/tests/leaving.rs
+++ b/crates/node/tests/leaving.rs
@@ -27,7 +27,7 @@
 }
 
 fn requests(scene: &Scene, index: usize) -> u64 {
-    scene.hosts[index].upstream.account().requests
+    scene.hosts[index].upstream.counts().requests
 }
 
 /// One node gets SIGTERM under load. All requests must be answered; callers of the stopped node use
@@ -74,7 +74,7 @@
 async fn stop_of_the_entry_node_finishes_requests_in_progress() {
     let mut scene = processes(hosts(2)).await;
     for index in 0..2 {
-        scene.behave(index, |behaviour| behaviour.service_micros = 2_500_000);
+        scene.update_behaviour(index, |behaviour| behaviour.service_micros = 2_500_000);
     }
     let entry = scene.addresses(0).callers;
     let caller = scene.caller.clone();
@@ -138,11 +138,11 @@
 async fn preset_drains_a_host_and_restores_it() {
     let scene = processes(hosts(3)).await;
     scene
-        .put_in_force(leaving("service-1"), "out")
+        .activate_preset(leaving("service-1"), "out")
         .await
         .expect("accepted");
     scene
-        .until("all know that it leaves", |status| {
+        .wait_until("all know that it leaves", |status| {
             status.view.members.iter().any(|record| {
                 &*record.host == "service-1" && record.upstream.as_ref().is_some_and(|u| u.leaving)
             })
@@ -154,16 +154,16 @@
     account.all_succeeded();
     assert_eq!(requests(&scene, 0), before);
     scene
-        .put_in_force(Preset::default(), "back")
+        .activate_preset(Preset::default(), "back")
         .await
         .expect("accepted");
     scene
-        .until_of(&[0], "it is open again", |status| {
+        .wait_until_on(&[0], "it is open again", |status| {
             status.guarded.closed.is_none()
         })
         .await;
     scene
-        .until("all know that it is back", |status| {
+        .wait_until("all know that it is back", |status| {
             status
                 .view
                 .members
@@ -190,11 +190,11 @@
     let paused_at = Instant::now();
     scene.process(0).signal(Signal::STOP).expect("paused");
     scene
-        .put_in_force(leaving("service-1"), "out")
+        .activate_preset(leaving("service-1"), "out")
         .await
         .expect("accepted");
     let in_force = |status: &Status| status.view.in_force.revision.0 == 1;
-    scene.until_of(&[1, 2], "in force", in_force).await;
+    scene.wait_until_on(&[1, 2], "in force", in_force).await;
     let entry = scene.addresses(0).callers;
     let waiting: Vec<_> = (0..30)
         .map(|n| {
@@ -209,7 +209,7 @@
         let result = call.await.expect("the caller lives");
         assert!(result.is_success() || result.is_not_run(), "{result:?}");
     }
-    scene.until_of(&[0], "in force", in_force).await;
+    scene.wait_until_on(&[0], "in force", in_force).await;
     assert_eq!(
         requests(&scene, 0),
         before,
@@ -248,11 +248,11 @@
             .filter(|seen| &*seen.service == "service");
         others.count() == 2
     };
-    scene.until_of(&[2], "it knows both", knows_both).await;
+    scene.wait_until_on(&[2], "it knows both", knows_both).await;
     relay.set(Condition::Cut);
     scene.announce(0, State::Draining);
     scene
-        .until_of(&[0], "its guard knows", |status| {
+        .wait_until_on(&[0], "its guard knows", |status| {
             status.guarded.closed.is_some()
         })
         .await;
@@ -285,7 +285,7 @@
     });
     scene.announce(0, State::Draining);
     scene
-        .until("all know that it leaves", |status| {
+        .wait_until("all know that it leaves", |status| {
             status
                 .view
                 .members
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -10,7 +10,7 @@
 };
 use mintridge_standin::relay::Condition;
 use mintridge_standin::scene::wait_for;
-use mintridge_standin::upstream::Manner;
+use mintridge_standin::upstream::Mode;
 use tokio::task::JoinSet;
 
 /// Generous limit on each wait for a condition.
@@ -115,7 +115,7 @@
     let entry = scene.hosts.len() - 1;
     until_known_behind(&scene, entry).await;
     assert!(scene.call(entry, &get("opens-the-link")).await.is_success());
-    scene.behave(BEHIND, |behaviour| behaviour.manner = Manner::Silent);
+    scene.update_behaviour(BEHIND, |behaviour| behaviour.manner = Mode::Silent);
     let calling = {
         let caller = scene.caller.clone();
         let address = scene.addresses(entry).callers;
--- a/crates/node/tests/measuring.rs
+++ b/crates/node/tests/measuring.rs
@@ -7,15 +7,15 @@
 use common::{Account, all_behave, bare_post, get, hosts, mixed_load, processes, within};
 use mintridge_core::preset::Preset;
 use mintridge_standin::scene::Scene;
-use mintridge_standin::upstream::Manner;
+use mintridge_standin::upstream::Mode;
 use rstest::rstest;
 
 /// Upstream time of a node's first probe, for which its budget has enough from the start.
 const FIRST_PROBE_COST: Duration = Duration::from_millis(25);
 
 fn probes(scene: &Scene) -> u64 {
-    let accounts = scene.hosts.iter().map(|host| host.upstream.account());
-    accounts.map(|account| account.probes).sum()
+    let counts = scene.hosts.iter().map(|host| host.upstream.counts());
+    counts.map(|host_counts| host_counts.probes).sum()
 }
 
 /// Without traffic and under steady traffic the upstreams must receive no probes, as nodes count
@@ -37,9 +37,9 @@
     let scene = processes(hosts(3)).await;
     let started_at = Instant::now();
     for index in 0..3 {
-        scene.behave(index, |behaviour| behaviour.hang_probes = true);
+        scene.update_behaviour(index, |behaviour| behaviour.hang_probes = true);
     }
-    all_behave(&scene, Manner::FailFast);
+    all_behave(&scene, Mode::FailFast);
     for n in 0..400 {
         scene.call(n % 3, &get(&format!("id-{n}"))).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -58,17 +58,17 @@
 /// Requests fail because their callers set too short a timeout or because they fail slowly. The
 /// upstream must not become doubtful, so that other callers are served without interruption.
 #[rstest]
-#[case::impatient(Manner::Serve, 50_000, 10)]
-#[case::slow_failure(Manner::FailSlowly, 20_000, 5_000)]
+#[case::impatient(Mode::Serve, 50_000, 10)]
+#[case::slow_failure(Mode::FailSlowly, 20_000, 5_000)]
 #[tokio::test]
 async fn failures_of_one_caller_make_no_upstream_doubtful(
-    #[case] manner: Manner,
+    #[case] mode: Mode,
     #[case] service_micros: u64,
     #[case] allowed_millis: u64,
 ) {
     let scene = processes(hosts(1)).await;
-    scene.behave(0, |behaviour| {
-        behaviour.manner = manner;
+    scene.update_behaviour(0, |behaviour| {
+        behaviour.manner = mode;
         behaviour.service_micros = service_micros;
     });
     for n in 0..10 {
@@ -88,18 +88,18 @@
 #[tokio::test]
 async fn doubtful_upstreams_recover_without_a_restart() {
     let scene = processes(hosts(2)).await;
-    all_behave(&scene, Manner::FailFast);
+    all_behave(&scene, Mode::FailFast);
     for n in 0..20 {
         scene.call(n % 2, &get(&format!("id-{n}"))).await;
     }
     scene
-        .until("all are doubtful", |status| status.guarded.doubtful)
+        .wait_until("all are doubtful", |status| status.guarded.doubtful)
         .await;
     let result = scene.call(0, &get("refused")).await;
     assert!(result.is_not_run(), "{result:?}");
-    all_behave(&scene, Manner::Serve);
+    all_behave(&scene, Mode::Serve);
     scene
-        .until("none is doubtful", |status| !status.guarded.doubtful)
+        .wait_until("none is doubtful", |status| !status.guarded.doubtful)
         .await;
     assert!(scene.call(0, &get("served")).await.is_success());
 }
--- a/crates/node/tests/presets.rs
+++ b/crates/node/tests/presets.rs
@@ -20,12 +20,12 @@
 /// latest.
 async fn two_in_force(scene: &Scene) -> (Vec<u8>, InForce) {
     scene
-        .put_in_force(preset(0.2), "ana")
+        .activate_preset(preset(0.2), "ana")
         .await
         .expect("accepted");
     let old = scene.store.value(IN_FORCE).expect("written");
     let latest = scene
-        .put_in_force(preset(0.3), "ben")
+        .activate_preset(preset(0.3), "ben")
         .await
         .expect("accepted");
     (old, latest)
@@ -44,7 +44,7 @@
     for revision in 1..=3 {
         let mark = format!("operator-{revision}");
         let in_force = scene
-            .put_in_force(preset(0.2), &mark)
+            .activate_preset(preset(0.2), &mark)
             .await
             .expect("accepted");
         let accepted = Instant::now();
@@ -68,7 +68,10 @@
     for change in 1..=5_u32 {
         let preset = preset(f64::from(change) / 100.0);
         let mark = format!("operator-{change}");
-        let in_force = scene.put_in_force(preset, &mark).await.expect("accepted");
+        let in_force = scene
+            .activate_preset(preset, &mark)
+            .await
+            .expect("accepted");
         until_revision(&scene, in_force.revision.0).await;
     }
     let account = sending.await.expect("the load ends");
@@ -86,7 +89,7 @@
     let scene = processes(hosts(4)).await;
     scene.store.set_faults(faults);
     let in_force = scene
-        .put_in_force(preset(0.2), "operator")
+        .activate_preset(preset(0.2), "operator")
         .await
         .expect("accepted");
     until_revision(&scene, in_force.revision.0).await;
@@ -96,7 +99,7 @@
 /// memory and these settings: it learns the preset in force and the members from peers.
 async fn last_node_learns_from_peers(mut scene: Scene, adjust: impl FnOnce(&mut Settings)) {
     let in_force = scene
-        .put_in_force(preset(0.2), "operator")
+        .activate_preset(preset(0.2), "operator")
         .await
         .expect("accepted");
     until_revision(&scene, in_force.revision.0).await;
@@ -105,7 +108,7 @@
     scene.kill(last).await;
     scene.start_node_with(last, adjust).expect("starts");
     until_revision(&scene, in_force.revision.0).await;
-    scene.until_joined().await;
+    scene.wait_until_joined().await;
 }
 
 /// A node starts with an empty memory while the store is out: it knows a peer from its
@@ -156,7 +159,7 @@
 #[tokio::test]
 async fn two_operators_one_wins_and_the_other_is_told() {
     let scene = processes(hosts(2)).await;
-    let store = scene.operator();
+    let store = scene.operator_client();
     for name in ["day", "peak"] {
         let author = author("setup");
         presets::put(&store, name, preset(0.1), None, &author)
@@ -181,7 +184,7 @@
     assert_eq!(found.changed_by, won.changed_by);
     until_revision(&scene, won.revision.0).await;
     scene
-        .until("the winner's", |status| {
+        .wait_until("the winner's", |status| {
             status.view.in_force.name == won.name
         })
         .await;
@@ -195,7 +198,7 @@
 #[tokio::test]
 async fn use_with_a_lost_reply_says_that_it_took(#[case] faults: Faults) {
     let scene = processes(hosts(2)).await;
-    let store = scene.operator();
+    let store = scene.operator_client();
     presets::put(&store, "day", preset(0.2), None, &author("ana"))
         .await
         .expect("accepted");
@@ -210,7 +213,7 @@
 #[tokio::test]
 async fn use_with_the_store_down_says_that_nothing_changed() {
     let scene = processes(hosts(2)).await;
-    let store = scene.operator();
+    let store = scene.operator_client();
     presets::put(&store, "day", preset(0.2), None, &author("ana"))
         .await
         .expect("accepted");
@@ -229,15 +232,15 @@
 async fn put_of_the_preset_in_force_is_in_force() {
     let scene = processes(hosts(2)).await;
     scene
-        .put_in_force(preset(0.2), "ana")
+        .activate_preset(preset(0.2), "ana")
         .await
         .expect("accepted");
-    let store = scene.operator();
+    let store = scene.operator_client();
     let edited = presets::put(&store, "preset", preset(0.3), None, &author("ben")).await;
     let edited = edited.expect("accepted").expect("it is in force");
     until_revision(&scene, edited.revision.0).await;
     scene
-        .until("the edit", |status| {
+        .wait_until("the edit", |status| {
             (status.view.in_force.preset.retry_share - 0.3).abs() < 1e-9
         })
         .await;
@@ -296,13 +299,13 @@
     })
     .await;
     let next = scene
-        .put_in_force(preset(0.1), "carl")
+        .activate_preset(preset(0.1), "carl")
         .await
         .expect("accepted");
     assert!(next.revision > latest.revision);
     until_revision(&scene, next.revision.0).await;
     scene
-        .until("carl's", |status| {
+        .wait_until("carl's", |status| {
             &*status.view.in_force.changed_by == "carl"
         })
         .await;
@@ -315,22 +318,22 @@
     let scene = processes(hosts(3)).await;
     scene.process(2).signal(Signal::STOP).expect("frozen");
     scene
-        .put_in_force(preset(0.2), "ana")
+        .activate_preset(preset(0.2), "ana")
         .await
         .expect("accepted");
     scene
-        .put_in_force(preset(0.3), "ben")
+        .activate_preset(preset(0.3), "ben")
         .await
         .expect("accepted");
     scene
-        .until_of(&[0, 1], "in force", |status| {
+        .wait_until_on(&[0, 1], "in force", |status| {
             status.view.in_force.revision.0 >= 2
         })
         .await;
     scene.store.set_faults(down());
     scene.process(2).signal(Signal::CONT).expect("woken");
     scene
-        .until_of(&[2], "in force", |status| {
+        .wait_until_on(&[2], "in force", |status| {
             status.view.in_force.revision.0 >= 2
         })
         .await;
--- a/crates/node/tests/routes.rs
+++ b/crates/node/tests/routes.rs
@@ -28,7 +28,7 @@
 
 async fn wait_for_version(scene: &Scene, version: u64) {
     scene
-        .until("the version is in force everywhere", |status| {
+        .wait_until("the version is in force everywhere", |status| {
             status.routes_version == version
         })
         .await;
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -31,6 +31,6 @@
         ..Settings::default()
     };
     let outcome = soak::run(&settings).await.expect("it plays");
-    assert!(outcome.broken.is_empty(), "{:?}", outcome.broken);
+    assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
     assert!(outcome.succeeded * 2 > outcome.sent, "{outcome:?}");
 }
--- a/crates/node/tests/strangers.rs
+++ b/crates/node/tests/strangers.rs
@@ -113,7 +113,7 @@
         send(port, bytes).await;
     }
     assert_still_serves(&scene).await;
-    scene.until_joined().await;
+    scene.wait_until_joined().await;
 }
 
 /// A caller sends headers that only nodes may send to each other. They must be dropped, and the
--- a/crates/node/tests/streams.rs
+++ b/crates/node/tests/streams.rs
@@ -8,9 +8,9 @@
 use bytes::Bytes;
 use common::{bare_post, get, hosts, post, processes};
 use mintridge_bench::caller::{Call, Reply};
-use mintridge_standin::cost::resident;
+use mintridge_standin::cost;
 use mintridge_standin::scene::Scene;
-use mintridge_standin::upstream::Result as Answer;
+use mintridge_standin::upstream::Echo;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -20,7 +20,7 @@
 
 fn resident_bytes(scene: &Scene) -> u64 {
     let processes = (0..scene.hosts.len()).map(|index| scene.process(index).id());
-    processes.map(resident).sum()
+    processes.map(cost::resident_bytes).sum()
 }
 
 #[tokio::test]
@@ -55,7 +55,7 @@
         let Reply::Answer { body, .. } = scene.call(entry, &call).await else {
             panic!("no answer");
         };
-        let answer = Answer::parse(&body).expect("an answer of the stand-in");
+        let answer = Echo::parse(&body).expect("an answer of the stand-in");
         assert_eq!(answer.body_bytes, LARGE_BODY_BYTES as u64);
     }
     let grown = resident_bytes(&scene).saturating_sub(before);
--- a/crates/node/tests/traces.rs
+++ b/crates/node/tests/traces.rs
@@ -5,7 +5,7 @@
 use common::{Plan, get, hosts, threads};
 use mintridge_bench::caller::Caller;
 use mintridge_standin::scene::Scene;
-use mintridge_standin::upstream::{SEEN_TRACEPARENT, TRACEPARENT};
+use mintridge_standin::upstream::{RECEIVED_TRACEPARENT, TRACEPARENT};
 use rstest::rstest;
 
 const TRACE: &str = "0af7651916cd43dd8448eb211c80319c";
@@ -18,7 +18,7 @@
     let response = caller
         .send(scene.addresses(0).callers, &get("traced"), &headers)
         .await?;
-    let received = response.headers().get(SEEN_TRACEPARENT)?;
+    let received = response.headers().get(RECEIVED_TRACEPARENT)?;
     Some(received.to_str().ok()?.to_owned())
 }
 
--- a/crates/node/tests/uploads.rs
+++ b/crates/node/tests/uploads.rs
@@ -10,7 +10,7 @@
 use mintridge_bench::caller::{Call, Reply};
 use mintridge_standin::relay::{Condition, Relay};
 use mintridge_standin::scene::wait_for;
-use mintridge_standin::upstream::Result as Answer;
+use mintridge_standin::upstream::Echo;
 
 /// Size of a scanned document.
 const UPLOAD_BYTES: usize = 360_000;
@@ -46,7 +46,7 @@
     let Reply::Answer { body, .. } = &reply else {
         panic!("{reply:?}");
     };
-    let answer = Answer::parse(body).expect("an answer of the stand-in");
+    let answer = Echo::parse(body).expect("an answer of the stand-in");
     assert_eq!(answer.body_bytes, UPLOAD_BYTES as u64);
 }
 
@@ -56,7 +56,7 @@
 #[tokio::test]
 async fn body_is_not_sent_before_there_is_a_slot() {
     let (scene, relay) = relayed_with_open_link().await;
-    scene.behave(BEHIND, |behaviour| behaviour.service_micros = 1_500_000);
+    scene.update_behaviour(BEHIND, |behaviour| behaviour.service_micros = 1_500_000);
     let entry = scene.addresses(ENTRY).callers;
     let mut running = Vec::new();
     let slots = scene.hosts[BEHIND].upstream.behaviour().slots;
@@ -69,13 +69,13 @@
         (0..slots).all(|n| scene.runs(&format!("before-{n}")) == 1)
     })
     .await;
-    let before = relay.carried();
+    let before = relay.forwarded_bytes();
     let caller = scene.caller.clone();
     let waiting =
         tokio::spawn(async move { caller.call(entry, &within(20_000, upload("waits"))).await });
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert_eq!(scene.runs("waits"), 0);
-    let carried = relay.carried() - before;
+    let carried = relay.forwarded_bytes() - before;
     assert!(carried < MAX_CARRIED_BYTES, "{carried} bytes");
     let timed_reply = waiting.await.expect("the caller lives");
     assert!(timed_reply.reply.is_success(), "{:?}", timed_reply.reply);
--- a/crates/standin/src/bin/soak.rs
+++ b/crates/standin/src/bin/soak.rs
@@ -60,7 +60,7 @@
                 "seed {seed}: {} of {} succeeded, {} broken",
                 outcome.succeeded,
                 outcome.sent,
-                outcome.broken.len()
+                outcome.violations.len()
             );
             for record in &outcome.closed_unanswered {
                 println!(
@@ -71,10 +71,10 @@
                     record.took
                 );
             }
-            for violation in &outcome.broken {
+            for violation in &outcome.violations {
                 println!("  {violation}");
             }
-            outcome.broken.is_empty()
+            outcome.violations.is_empty()
         }
         Err(error) => {
             println!("seed {seed}: run aborted: {error}");
--- a/crates/standin/src/bin/trial.rs
+++ b/crates/standin/src/bin/trial.rs
@@ -15,7 +15,7 @@
 use mintridge_standin::cost::{self, Cost};
 use mintridge_standin::scene::{Plan, Scene};
 use mintridge_standin::tables;
-use mintridge_standin::upstream::{Behaviour, Manner};
+use mintridge_standin::upstream::{Behaviour, Mode};
 
 mod flags {
     #![allow(missing_docs)]
@@ -166,9 +166,9 @@
     let scene = start_scene(binary, &[("service", members)], fast_behaviour()).await;
     tokio::time::sleep(Duration::from_secs(settle)).await;
     let calls = scene.store.calls();
-    let before = Cost::of(&scene).await;
+    let before = Cost::read(&scene).await;
     tokio::time::sleep(Duration::from_secs(seconds)).await;
-    let spent = Cost::of(&scene).await.since(&before);
+    let spent = Cost::read(&scene).await.since(&before);
     let calls = cost::calls_since(&scene.store.calls(), &calls);
     println!(
         "members {members:>4}: {}, store calls/s {:.2}",
@@ -202,7 +202,7 @@
             ..Load::default()
         };
         let direct = load::run(&load, |_| {}).await;
-        let before = Cost::of(&scene).await;
+        let before = Cost::read(&scene).await;
         let routed = load::run(
             &Load {
                 targets: scene.entries(),
@@ -211,7 +211,7 @@
             |_| {},
         )
         .await;
-        let spent = Cost::of(&scene).await.since(&before);
+        let spent = Cost::read(&scene).await.since(&before);
         println!(
             "{name}, {rate} calls/s a node: {}",
             added_latency(&direct, &routed)
@@ -271,9 +271,9 @@
 
 async fn memory_cost(binary: &Path) {
     let scene = start_scene(binary, &PRESSE, fast_behaviour()).await;
-    let idle = Cost::of(&scene).await;
+    let idle = Cost::read(&scene).await;
     for index in 0..scene.hosts.len() {
-        scene.behave(index, |behaviour| behaviour.manner = Manner::Silent);
+        scene.update_behaviour(index, |behaviour| behaviour.manner = Mode::Silent);
     }
     let load = Load {
         targets: scene.entries(),
@@ -285,8 +285,8 @@
     };
     let load_task = tokio::spawn(async move { load::run(&load, |_| {}).await });
     tokio::time::sleep(Duration::from_secs(4)).await;
-    let busy = Cost::of(&scene).await;
-    let open: u64 = scene.hosts.iter().map(|s| s.upstream.account().open).sum();
+    let busy = Cost::read(&scene).await;
+    let open: u64 = scene.hosts.iter().map(|s| s.upstream.counts().open).sum();
     let added_bytes = busy.resident_bytes.saturating_sub(idle.resident_bytes);
     println!(
         "at rest {} a node; {open} requests in progress take {} KiB over both nodes",
@@ -305,12 +305,12 @@
             ..Preset::default()
         };
         let in_force = scene
-            .put_in_force(preset, &format!("change-{change}"))
+            .activate_preset(preset, &format!("change-{change}"))
             .await;
         let accepted_at = Instant::now();
         let revision = in_force.expect("accepted").revision;
         scene
-            .until("in force", |status| {
+            .wait_until("in force", |status| {
                 status.view.in_force.revision >= revision
             })
             .await;
--- a/crates/standin/src/cost.rs
+++ b/crates/standin/src/cost.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::time::{Duration, Instant};
 
-use crate::scene::{Running, Scene};
+use crate::scene::{RunningNode, Scene};
 use crate::store::Calls;
 
 /// Clock ticks per second in `/proc`, fixed on Linux.
@@ -34,7 +34,7 @@
 
 impl Cost {
     /// Reads the kernel's counters.
-    pub async fn of(scene: &Scene) -> Self {
+    pub async fn read(scene: &Scene) -> Self {
         let mut cost = Self {
             read_at: Instant::now(),
             nodes: 0,
@@ -44,12 +44,12 @@
             exchange_bytes: 0.0,
         };
         for (index, host) in scene.hosts.iter().enumerate() {
-            let Some(Running::Process(process)) = &host.node else {
+            let Some(RunningNode::Process(process)) = &host.node else {
                 continue;
             };
             cost.nodes += 1;
             cost.cpu_time += cpu_time(process.id());
-            cost.resident_bytes += resident(process.id());
+            cost.resident_bytes += resident_bytes(process.id());
             cost.exchange_bytes += scene.counter(index, "mintridge_exchange_bytes_total").await;
         }
         cost.read_at = Instant::now();
@@ -130,7 +130,7 @@
 
 /// Returns the resident memory of a process in bytes, or 0 if the process is gone.
 #[must_use]
-pub fn resident(pid: u32) -> u64 {
+pub fn resident_bytes(pid: u32) -> u64 {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kibibytes = line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok());
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -59,7 +59,7 @@
 
     /// Stalls the open connections: they stay open and no data passes on them again, while new
     /// connections work.
-    pub fn lose_open_connections(&self) {
+    pub fn stall_open_connections(&self) {
         let mut stalled = self.stalled.lock();
         stalled.send_replace(true);
         *stalled = watch::Sender::new(false);
@@ -67,7 +67,7 @@
 
     /// Number of bytes forwarded to the target.
     #[must_use]
-    pub fn carried(&self) -> usize {
+    pub fn forwarded_bytes(&self) -> usize {
         self.forwarded_bytes.load(Ordering::Relaxed)
     }
 
--- a/crates/standin/src/scene.rs
+++ b/crates/standin/src/scene.rs
@@ -81,14 +81,14 @@
 
 /// A running node.
 #[derive(Debug)]
-pub enum Running {
+pub enum RunningNode {
     /// The node runs as threads of this process.
     Threads(Node),
     /// The node runs as a separate process.
     Process(Process),
 }
 
-impl Running {
+impl RunningNode {
     fn addresses(&self) -> Addresses {
         match self {
             Self::Threads(node) => node.context().addresses,
@@ -108,7 +108,7 @@
     /// Address on which the upstream listens.
     pub upstream_address: SocketAddr,
     /// The node beside the upstream; `None` while it is stopped.
-    pub node: Option<Running>,
+    pub node: Option<RunningNode>,
     /// Current announcement of the upstream to its node.
     pub announcement: watch::Sender<Arc<Announcement>>,
     zone: String,
@@ -171,7 +171,7 @@
                     .await?;
             }
         }
-        scene.until_joined().await;
+        scene.wait_until_joined().await;
         Ok(scene)
     }
 
@@ -262,10 +262,10 @@
         (self.adjust)(&mut settings);
         adjust(&mut settings);
         let running = if let Some(binary) = &self.binary {
-            Running::Process(Process::start(binary, &settings)?)
+            RunningNode::Process(Process::start(binary, &settings)?)
         } else {
             let started = node::start(settings, Adapter::default());
-            Running::Threads(started.map_err(Error::Node)?)
+            RunningNode::Threads(started.map_err(Error::Node)?)
         };
         let announcements = running.addresses().announcements;
         tokio::spawn(announcer::run(announcements, host.announcement.subscribe()));
@@ -278,9 +278,9 @@
     ///
     /// # Panics
     /// If the condition isn't met within a minute.
-    pub async fn until_joined(&self) {
+    pub async fn wait_until_joined(&self) {
         let count = self.hosts.len();
-        self.until("every node knows every host", |status| {
+        self.wait_until("every node knows every host", |status| {
             let members = status.view.members.iter();
             let announced = members.filter(|record| record.upstream.is_some());
             announced.count() == count && status.seen.len() == count
@@ -292,18 +292,18 @@
     ///
     /// # Panics
     /// If the condition isn't met within a minute.
-    pub async fn until(&self, description: &str, condition: impl Fn(&Status) -> bool) {
+    pub async fn wait_until(&self, description: &str, condition: impl Fn(&Status) -> bool) {
         let running: Vec<usize> = (0..self.hosts.len())
             .filter(|index| self.hosts[*index].node.is_some())
             .collect();
-        self.until_of(&running, description, condition).await;
+        self.wait_until_on(&running, description, condition).await;
     }
 
     /// Waits until the state of each node in `indices` meets a condition.
     ///
     /// # Panics
     /// If the condition isn't met within a minute.
-    pub async fn until_of(
+    pub async fn wait_until_on(
         &self,
         indices: &[usize],
         description: &str,
@@ -387,7 +387,7 @@
     #[must_use]
     pub fn process(&self, index: usize) -> &Process {
         match &self.hosts[index].node {
-            Some(Running::Process(process)) => process,
+            Some(RunningNode::Process(process)) => process,
             _ => panic!("node {index} is not a process"),
         }
     }
@@ -395,10 +395,10 @@
     /// Stops a node gracefully and waits until it has ended.
     pub async fn stop(&mut self, index: usize) {
         match self.hosts[index].node.take() {
-            Some(Running::Threads(node)) => {
+            Some(RunningNode::Threads(node)) => {
                 let _ = tokio::task::spawn_blocking(move || node.stop()).await;
             }
-            Some(Running::Process(mut process)) => {
+            Some(RunningNode::Process(mut process)) => {
                 let _ = process.signal(rustix::process::Signal::TERM);
                 let _ = tokio::task::spawn_blocking(move || process.wait()).await;
             }
@@ -409,10 +409,10 @@
     /// Ends a node immediately: a process with SIGKILL, threads without finishing their requests.
     pub async fn kill(&mut self, index: usize) {
         match self.hosts[index].node.take() {
-            Some(Running::Threads(node)) => {
+            Some(RunningNode::Threads(node)) => {
                 let _ = tokio::task::spawn_blocking(move || node.terminate()).await;
             }
-            Some(Running::Process(process)) => drop(process),
+            Some(RunningNode::Process(process)) => drop(process),
             None => {}
         }
     }
@@ -425,8 +425,8 @@
     }
 
     /// Makes an upstream announce that it has restarted with an unchanged instance id.
-    pub fn announce_start(&self, index: usize) {
-        supervisor::announce_start(&self.hosts[index].announcement);
+    pub fn announce_restart(&self, index: usize) {
+        supervisor::announce_restart(&self.hosts[index].announcement);
     }
 
     /// Makes an upstream announce a state, such as draining or ready.
@@ -440,7 +440,7 @@
     }
 
     /// Changes the behaviour of an upstream.
-    pub fn behave(&self, index: usize, change: impl FnOnce(&mut Behaviour)) {
+    pub fn update_behaviour(&self, index: usize, change: impl FnOnce(&mut Behaviour)) {
         let upstream = &self.hosts[index].upstream;
         let mut behaviour = upstream.behaviour();
         change(&mut behaviour);
@@ -449,7 +449,7 @@
 
     /// Creates a client of the store like the one that operators use.
     #[must_use]
-    pub fn operator(&self) -> Client {
+    pub fn operator_client(&self) -> Client {
         Client::new(self.store_address, Duration::from_millis(500))
     }
 
@@ -457,12 +457,12 @@
     ///
     /// # Errors
     /// If the store rejects the preset or its activation.
-    pub async fn put_in_force(
+    pub async fn activate_preset(
         &self,
         preset: Preset,
         change_id: &str,
     ) -> Result<InForce, presets::Refused> {
-        let store = self.operator();
+        let store = self.operator_client();
         let author = author(change_id);
         presets::put(&store, "preset", preset, None, &author).await?;
         presets::activate(&store, "preset", &author).await
@@ -471,7 +471,7 @@
     /// Makes every upstream crash on a request for `path`, or on no request if it is `None`.
     pub fn crash_on(&self, path: Option<&str>) {
         for index in 0..self.hosts.len() {
-            self.behave(index, |behaviour| {
+            self.update_behaviour(index, |behaviour| {
                 behaviour.crashes_on = path.map(ToOwned::to_owned);
             });
         }
@@ -480,16 +480,16 @@
     /// Returns the number of crashes of all upstreams.
     #[must_use]
     pub fn crashes(&self) -> u64 {
-        let accounts = self.hosts.iter().map(|host| host.upstream.account());
-        accounts.map(|account| account.crashes).sum()
+        let counts = self.hosts.iter().map(|host| host.upstream.counts());
+        counts.map(|host_counts| host_counts.crashes).sum()
     }
 
     /// Returns how often a request ran, summed over all upstreams.
     #[must_use]
     pub fn runs(&self, id: &str) -> u32 {
-        let accounts = self.hosts.iter().map(|host| host.upstream.account());
-        accounts
-            .map(|account| account.runs.get(id).copied().unwrap_or(0))
+        let counts = self.hosts.iter().map(|host| host.upstream.counts());
+        counts
+            .map(|host_counts| host_counts.runs.get(id).copied().unwrap_or(0))
             .sum()
     }
 }
--- a/crates/standin/src/soak.rs
+++ b/crates/standin/src/soak.rs
@@ -69,7 +69,7 @@
     /// Requests whose connection closed without a response and that did not run.
     pub closed_unanswered: Vec<Record>,
     /// Guarantees that were violated.
-    pub broken: Vec<Violation>,
+    pub violations: Vec<Violation>,
 }
 
 /// Runs the soak with one seed.
@@ -129,7 +129,7 @@
             .filter(|record| record.result.is_success())
             .count(),
         closed_unanswered: closed_unanswered(&records, &runs),
-        broken: violations,
+        violations,
     })
 }
 
@@ -208,7 +208,7 @@
 fn runs(fleet: &Fleet) -> BTreeMap<String, u32> {
     let mut runs: BTreeMap<String, u32> = BTreeMap::new();
     for host in &fleet.scene.hosts {
-        for (id, count) in host.upstream.account().runs {
+        for (id, count) in host.upstream.counts().runs {
             *runs.entry(id).or_default() += count;
         }
     }
--- a/crates/standin/src/soak/fleet.rs
+++ b/crates/standin/src/soak/fleet.rs
@@ -15,7 +15,7 @@
 use super::plan::{Entry, Event};
 use super::promises::{COLD_RATE, Leaving, Versions, Violation};
 use crate::relay::{Condition, Relay};
-use crate::scene::{Error, Plan, Running, Scene, loopback};
+use crate::scene::{Error, Plan, RunningNode, Scene, loopback};
 use crate::store::Faults;
 use crate::store::drill::Drill;
 use crate::upstream;
@@ -84,7 +84,7 @@
         for index in 0..hosts {
             fleet.add(index).await?;
         }
-        fleet.scene.until_joined().await;
+        fleet.scene.wait_until_joined().await;
         Ok(fleet)
     }
 
@@ -165,19 +165,19 @@
                     .push((host, Leaving::new(name, Instant::now())));
             }
             Event::ChangePreset => self.change_preset().await,
-            Event::Restart => self.scene.announce_start(host),
+            Event::Restart => self.scene.announce_restart(host),
             Event::Kill if self.is_up(host) => {
                 self.targets.lock()[host] = None;
                 self.scene.kill(host).await;
             }
             Event::Pause if self.is_up(host) => self.signal(host, Signal::STOP),
             Event::PeerLink(condition) => self.networks[host].peers.set(condition),
-            Event::StallPeerLinks => self.networks[host].peers.lose_open_connections(),
+            Event::StallPeerLinks => self.networks[host].peers.stall_open_connections(),
             Event::StoreLink(condition) => self.networks[host].store.set(condition),
-            Event::StoreRestore => self.scene.store.take_copy(),
+            Event::StoreRestore => self.scene.store.take_backup(),
             Event::TurnCold => {
                 let duration = entry.until.saturating_sub(entry.at);
-                self.scene.hosts[host].upstream.turn_cold(duration);
+                self.scene.hosts[host].upstream.start_cold_period(duration);
             }
             event => self.set_store_fault(event, true),
         }
@@ -233,7 +233,7 @@
             ..Preset::default()
         };
         let mark = format!("change-{}", self.preset_changes);
-        if let Err(error) = self.scene.put_in_force(preset, &mark).await {
+        if let Err(error) = self.scene.activate_preset(preset, &mark).await {
             eprintln!("{mark} not accepted: {error}");
         }
     }
@@ -246,7 +246,7 @@
         for index in self.stopping.clone() {
             let node = &mut self.scene.hosts[index].node;
             let ended = match node {
-                Some(Running::Process(process)) => process.has_ended(),
+                Some(RunningNode::Process(process)) => process.has_ended(),
                 _ => true,
             };
             if ended {
@@ -261,7 +261,7 @@
             self.third_crash_at.get_or_insert(now);
         }
         for (host, leaving) in &mut self.leaving {
-            let requests = self.scene.hosts[*host].upstream.account().requests;
+            let requests = self.scene.hosts[*host].upstream.counts().requests;
             violations.extend(leaving.check(now, requests));
         }
         Ok(())
@@ -287,7 +287,7 @@
     #[must_use]
     pub fn max_cold_requests(&self) -> Vec<(String, usize)> {
         let hosts = self.scene.hosts.iter();
-        let requests = hosts.map(|host| (host.name.to_string(), host.upstream.account().cold_most));
+        let requests = hosts.map(|host| (host.name.to_string(), host.upstream.counts().cold_most));
         requests.collect()
     }
 
@@ -306,8 +306,8 @@
 fn set_cold_headers(settings: &mut Settings) {
     set_linger(settings);
     settings.upstream.instance_header = Some(String::from(upstream::SERVER));
-    settings.upstream.load_header = Some(String::from(upstream::LOAD));
-    settings.upstream.cold_header = Some(String::from(upstream::COLD));
+    settings.upstream.load_header = Some(String::from(upstream::LOAD_HEADER));
+    settings.upstream.cold_header = Some(String::from(upstream::COLD_HEADER));
     settings.warm_up.requests_per_second = Some(COLD_RATE.into());
 }
 
--- a/crates/standin/src/soak/promises.rs
+++ b/crates/standin/src/soak/promises.rs
@@ -8,7 +8,7 @@
 use mintridge_bench::caller::Reply;
 
 use super::callers::{Record, Repeat};
-use crate::upstream::Result as Answer;
+use crate::upstream::Echo;
 
 /// Time after its announcement from which a leaving upstream may get no new requests.
 pub const LEAVE_TIMEOUT: Duration = Duration::from_secs(4);
@@ -133,7 +133,7 @@
         }
         if let Reply::Answer { body, .. } = result
             && result.is_success()
-            && Answer::parse(body).is_none_or(|answer| answer.id != id)
+            && Echo::parse(body).is_none_or(|answer| answer.id != id)
         {
             violations.push(Violation::ForeignAnswer { id });
         }
--- a/crates/standin/src/store/drill.rs
+++ b/crates/standin/src/store/drill.rs
@@ -20,21 +20,21 @@
     /// How long the store is down.
     pub downtime: Duration,
     /// Delay after the restore until operators repeat the writes that were lost.
-    pub operators_repeat_after: Duration,
+    pub rewrite_delay: Duration,
 }
 
 impl Default for Drill {
     fn default() -> Self {
         Self {
             downtime: Duration::from_millis(300),
-            operators_repeat_after: Duration::from_millis(500),
+            rewrite_delay: Duration::from_millis(500),
         }
     }
 }
 
 impl Store {
     /// Takes the backup that the next restore uses.
-    pub fn take_copy(&self) {
+    pub fn take_backup(&self) {
         let mut inner = self.inner.lock();
         inner.backup = Some(inner.data.clone());
     }
@@ -48,7 +48,7 @@
         self.set_down(was_down);
         let store = Arc::clone(self);
         tokio::spawn(async move {
-            tokio::time::sleep(drill.operators_repeat_after).await;
+            tokio::time::sleep(drill.rewrite_delay).await;
             for put in lost {
                 let changed = store.inner.lock().data.put(put);
                 let _ = store.events.send(changed);
--- a/crates/standin/src/supervisor.rs
+++ b/crates/standin/src/supervisor.rs
@@ -31,14 +31,14 @@
             let announcement = announcement.clone();
             std::thread::spawn(move || {
                 std::thread::sleep(Duration::from_millis(behaviour.unannounced_millis));
-                announce_start(&announcement);
+                announce_restart(&announcement);
             });
         }
     });
 }
 
 /// Announces that the upstream has restarted under the same id.
-pub fn announce_start(announcement: &watch::Sender<Arc<Announcement>>) {
+pub fn announce_restart(announcement: &watch::Sender<Arc<Announcement>>) {
     announcement.send_modify(|current| {
         let starts = current.born.unwrap_or_default();
         Arc::make_mut(current).born = Some(starts + 1);
--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -30,15 +30,15 @@
 /// Header with the trace context of a request.
 pub const TRACEPARENT: &str = "traceparent";
 /// Response header with the trace context that the upstream received.
-pub const SEEN_TRACEPARENT: &str = "x-seen-traceparent";
+pub const RECEIVED_TRACEPARENT: &str = "x-seen-traceparent";
 /// Header of a probe response with the load of the upstream.
-pub const LOAD: &str = "x-load";
+pub const LOAD_HEADER: &str = "x-load";
 /// Header of a probe response with the remaining time for which the upstream is cold, in
 /// milliseconds.
-pub const COLD: &str = "x-cold";
+pub const COLD_HEADER: &str = "x-cold";
 /// Path at which a request replaces the behaviour.
 pub const BEHAVIOUR: &str = "/standin/behaviour";
-/// Path that returns the [`Account`].
+/// Path that returns the [`Counts`].
 pub const ACCOUNT: &str = "/standin/account";
 /// Path of health probes.
 pub const HEALTH: &str = "/health";
@@ -56,7 +56,7 @@
 /// How an upstream handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Manner {
+pub enum Mode {
     /// Serves requests; those without a free slot wait.
     #[default]
     Serve,
@@ -81,7 +81,7 @@
     /// Number of requests that are served concurrently.
     pub slots: usize,
     /// How requests are handled.
-    pub manner: Manner,
+    pub manner: Mode,
     /// Whether health probes never get a response.
     pub hang_probes: bool,
     /// Path on which the upstream crashes, once the request body has been received and half of the
@@ -98,7 +98,7 @@
         Self {
             service_micros: 20_000,
             slots: 12,
-            manner: Manner::Serve,
+            manner: Mode::Serve,
             hang_probes: false,
             crashes_on: None,
             down_millis: 1_000,
@@ -109,7 +109,7 @@
 
 /// Counts of the requests and runs of one upstream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Account {
+pub struct Counts {
     /// Number of runs by request id.
     pub runs: HashMap<String, u32>,
     /// Number of requests that reached this upstream, probes excluded.
@@ -138,7 +138,7 @@
 struct State {
     behaviour: Behaviour,
     slots: Arc<Semaphore>,
-    account: Account,
+    counts: Counts,
     cold_period: ColdPeriod,
 }
 
@@ -172,7 +172,7 @@
 /// JSON response to an ordinary request. It repeats what the upstream received, so that a caller can
 /// check that the response belongs to its own request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Result {
+pub struct Echo {
     /// Name of the upstream that sent the response.
     pub host: String,
     /// Request id given by the caller.
@@ -187,7 +187,7 @@
     pub body_digest: String,
 }
 
-impl Result {
+impl Echo {
     /// Parses a response body; returns `None` if it isn't the JSON of this type.
     #[must_use]
     pub fn parse(body: &[u8]) -> Option<Self> {
@@ -204,7 +204,7 @@
             state: Mutex::new(State {
                 slots: Arc::new(Semaphore::new(behaviour.slots)),
                 behaviour,
-                account: Account::default(),
+                counts: Counts::default(),
                 cold_period: ColdPeriod::default(),
             }),
             crash: Notify::new(),
@@ -222,12 +222,13 @@
     }
 
     fn count_run(&self, id: &str) {
-        let runs = &mut self.state.lock().account.runs;
+        let runs = &mut self.state.lock().counts.runs;
         *runs.entry(id.to_owned()).or_default() += 1;
     }
 
-    /// Makes the upstream cold for `duration`. No announcement is sent; only [`COLD`] reports it.
-    pub fn turn_cold(&self, duration: Duration) {
+    /// Makes the upstream cold for `duration`. No announcement is sent; only [`COLD_HEADER`]
+    /// reports it.
+    pub fn start_cold_period(&self, duration: Duration) {
         self.state.lock().cold_period.until = Some(Instant::now() + duration);
     }
 
@@ -244,8 +245,8 @@
 
     /// Returns the counts since the start of the stand-in.
     #[must_use]
-    pub fn account(&self) -> Account {
-        self.state.lock().account.clone()
+    pub fn counts(&self) -> Counts {
+        self.state.lock().counts.clone()
     }
 }
 
@@ -265,19 +266,19 @@
     let behaviour = upstream.behaviour();
     match request.uri().path() {
         BEHAVIOUR => return set_behaviour(&upstream, request).await,
-        ACCOUNT => return reply::json(StatusCode::OK, &upstream.account()),
+        ACCOUNT => return reply::json(StatusCode::OK, &upstream.counts()),
         HEALTH => return probe_response(&upstream, &behaviour).await,
         _ => {}
     }
     let id = header(&request, REQUEST_ID);
     let _open_request = OpenRequest::new(Arc::clone(&upstream));
-    if behaviour.manner == Manner::FailFast {
+    if behaviour.manner == Mode::FailFast {
         return reply::text(StatusCode::SERVICE_UNAVAILABLE, "failing fast\n");
     }
     let slots = Arc::clone(&upstream.state.lock().slots);
     let slot = match slots.try_acquire() {
         Ok(slot) => slot,
-        Err(_) if behaviour.manner == Manner::Shed => {
+        Err(_) if behaviour.manner == Mode::Shed => {
             return reply::text(StatusCode::SERVICE_UNAVAILABLE, "shedding load\n");
         }
         Err(_) => match slots.acquire().await {
@@ -302,7 +303,7 @@
         return crash(upstream, service_time, request).await;
     }
     tokio::time::sleep(service_time).await;
-    if behaviour.manner == Manner::Silent {
+    if behaviour.manner == Mode::Silent {
         std::future::pending::<()>().await;
     }
     let traceparent = request.headers().get(TRACEPARENT).cloned();
@@ -311,7 +312,7 @@
         .path()
         .strip_prefix(BYTES)
         .and_then(|length| length.parse().ok());
-    if behaviour.manner == Manner::FailSlowly {
+    if behaviour.manner == Mode::FailSlowly {
         return reply::text(StatusCode::SERVICE_UNAVAILABLE, "failing slowly\n");
     }
     if request.uri().path() == NESTED_REFUSAL {
@@ -319,12 +320,14 @@
     }
     let mut response = match (request.method(), length) {
         (&Method::GET, Some(length)) => {
-            bytes_response(length, behaviour.manner == Manner::BreakAnswers)
+            bytes_response(length, behaviour.manner == Mode::BreakAnswers)
         }
         _ => result_response(upstream, request, id).await,
     };
     if let Some(traceparent) = traceparent {
-        response.headers_mut().insert(SEEN_TRACEPARENT, traceparent);
+        response
+            .headers_mut()
+            .insert(RECEIVED_TRACEPARENT, traceparent);
     }
     if let Ok(name) = upstream.name.parse() {
         response.headers_mut().insert(SERVER, name);
@@ -340,7 +343,7 @@
 ) -> Response<Body> {
     let _ = request.into_body().collect().await;
     tokio::time::sleep(service_time / 2).await;
-    upstream.state.lock().account.crashes += 1;
+    upstream.state.lock().counts.crashes += 1;
     upstream.crash.notify_one();
     std::future::pending().await
 }
@@ -364,7 +367,7 @@
             body_bytes += data.len() as u64;
         }
     }
-    let result = Result {
+    let echo = Echo {
         host: upstream.name.to_string(),
         id,
         client_account,
@@ -372,7 +375,7 @@
         body_bytes,
         body_digest: digest.finalize().to_hex().to_string(),
     };
-    reply::json(StatusCode::OK, &result)
+    reply::json(StatusCode::OK, &echo)
 }
 
 /// Returns the refusal of a nested call with its headers, as an upstream does that forwards it
@@ -409,11 +412,11 @@
 }
 
 async fn probe_response(upstream: &Upstream, behaviour: &Behaviour) -> Response<Body> {
-    upstream.state.lock().account.probes += 1;
+    upstream.state.lock().counts.probes += 1;
     if behaviour.hang_probes {
         std::future::pending::<()>().await;
     }
-    if behaviour.manner == Manner::FailFast {
+    if behaviour.manner == Mode::FailFast {
         return reply::text(StatusCode::SERVICE_UNAVAILABLE, "failing fast\n");
     }
     let mut response = reply::text(StatusCode::OK, "ready\n");
@@ -426,8 +429,8 @@
     let load = format!("{{\"slots\":{}}}", behaviour.slots);
     let headers = [
         (SERVER, upstream.name.to_string()),
-        (LOAD, load),
-        (COLD, cold_millis.to_string()),
+        (LOAD_HEADER, load),
+        (COLD_HEADER, cold_millis.to_string()),
     ];
     for (name, value) in headers {
         if let Ok(value) = value.parse() {
@@ -463,11 +466,11 @@
     fn new(upstream: Arc<Upstream>) -> Self {
         let mut state = upstream.state.lock();
         let cold_requests = state.cold_period.record_arrival(Instant::now());
-        let account = &mut state.account;
-        account.cold_most = account.cold_most.max(cold_requests);
-        account.requests += 1;
-        account.open += 1;
-        account.open_most = account.open_most.max(account.open);
+        let counts = &mut state.counts;
+        counts.cold_most = counts.cold_most.max(cold_requests);
+        counts.requests += 1;
+        counts.open += 1;
+        counts.open_most = counts.open_most.max(counts.open);
         drop(state);
         Self(upstream)
     }
@@ -475,6 +478,6 @@
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.0.state.lock().account.open -= 1;
+        self.0.state.lock().counts.open -= 1;
     }
 }
--- a/crates/try/src/main.rs
+++ b/crates/try/src/main.rs
@@ -9,7 +9,7 @@
 use mintridge_bench::load::{self, Plan as Load, Record};
 use mintridge_bench::report::Report;
 use mintridge_standin::scene::{Plan, Scene};
-use mintridge_standin::upstream::{Behaviour, Result as Answer};
+use mintridge_standin::upstream::{Behaviour, Echo};
 
 /// Requests per second over all nodes.
 const REQUESTS_PER_SECOND: f64 = 400.0;
@@ -133,7 +133,7 @@
     let Reply::Answer { body, .. } = reply else {
         return false;
     };
-    Answer::parse(body).is_none_or(|answer| answer.id != id)
+    Echo::parse(body).is_none_or(|answer| answer.id != id)
 }
 
 const fn is_broken(reply: &Reply) -> bool {
