--- a/crates/node/tests/answers.rs
+++ b/crates/node/tests/answers.rs
@@ -6,8 +6,8 @@
 
 use bytes::Bytes;
 use common::{
-    Account, BEHIND, ENTRY, Plan, get, hosts, is_broken, mixed_load, post, processes,
-    processes_and_entry, relayed, threads, within,
+    ENTRY, Plan, RELAYED, Replies, get, hosts, is_broken, mixed_load, post, relayed,
+    start_processes, start_processes_with_entry, start_threads, with_timeout,
 };
 use hyper::Method;
 use mintridge_bench::caller::{Call, Reply};
@@ -36,7 +36,7 @@
 #[case::large(20_000_000)]
 #[tokio::test]
 async fn answer_arrives_whole(#[case] length: usize) {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     for entry in 0..2 {
         let Reply::Answer { body, .. } = scene.call(entry, &bytes(length)).await else {
             panic!("no answer");
@@ -51,7 +51,7 @@
 #[case::large(20_000_000)]
 #[tokio::test]
 async fn request_arrives_whole(#[case] length: usize) {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     let content: Vec<u8> = (0..=u8::MAX).cycle().take(length).collect();
     let digest = blake3::hash(&content).to_hex().to_string();
     let call = Call {
@@ -73,7 +73,7 @@
 /// host with a truncated body.
 #[tokio::test]
 async fn request_body_is_whole_at_the_second_host() {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     scene.end_upstream(0);
     let content = vec![7_u8; 100_000];
     let digest = blake3::hash(&content).to_hex().to_string();
@@ -95,7 +95,7 @@
 /// complete to the caller.
 #[tokio::test]
 async fn broken_answer_is_seen_broken() {
-    let scene = processes(hosts(1)).await;
+    let scene = start_processes(hosts(1)).await;
     scene.update_behaviour(0, |behaviour| behaviour.manner = Mode::BreakAnswers);
     let reply = scene.call(0, &bytes(1_000_000)).await;
     assert_eq!(reply, Reply::Broken { begun: true });
@@ -105,7 +105,7 @@
 /// response that looks complete to the caller.
 #[tokio::test]
 async fn answer_cut_by_a_killed_guard_is_seen_broken() {
-    let mut scene = processes_and_entry(1).await;
+    let mut scene = start_processes_with_entry(1).await;
     let entry = scene.addresses(1).callers;
     let caller = scene.caller.clone();
     let call = bytes(2_000_000_000);
@@ -123,10 +123,10 @@
 /// An upstream receives what a nested call needs: the client account and the time left.
 #[tokio::test]
 async fn client_account_and_time_left_reach_the_upstream() {
-    let scene = threads(hosts(1)).await;
+    let scene = start_threads(hosts(1)).await;
     let call = Call {
         client_account: String::from("printer-7"),
-        ..within(3_000, post("deeper", "key"))
+        ..with_timeout(3_000, post("deeper", "key"))
     };
     let Reply::Answer { body, .. } = scene.call(0, &call).await else {
         panic!("no answer");
@@ -145,7 +145,7 @@
 /// succeed.
 #[tokio::test]
 async fn answers_are_never_mixed_up() {
-    let scene = processes(Plan {
+    let scene = start_processes(Plan {
         adjust: |settings| {
             settings.admission.queue_per_slot = 100.0;
             settings.store.timeout = Duration::from_secs(4);
@@ -153,20 +153,20 @@
         ..hosts(3)
     })
     .await;
-    let mut account = Account::default();
-    account.run(&mixed_load(&scene, 300.0, 3.0)).await;
-    account.check(&scene);
-    account.all_succeeded();
+    let mut replies = Replies::default();
+    replies.run(&mixed_load(&scene, 300.0, 3.0)).await;
+    replies.check(&scene);
+    replies.all_succeeded();
 }
 
 /// The caller disconnects. Guards against work that goes on at the upstream and keeps its slot.
 #[tokio::test]
 async fn hang_up_cancels_the_work() {
-    let scene = processes(hosts(1)).await;
+    let scene = start_processes(hosts(1)).await;
     scene.update_behaviour(0, |behaviour| behaviour.manner = Mode::Silent);
     let entry = scene.addresses(0).callers;
     let caller = scene.caller.clone();
-    let call = within(60_000, get("given-up"));
+    let call = with_timeout(60_000, get("given-up"));
     let calling = tokio::spawn(async move { caller.call(entry, &call).await });
     let open = || scene.hosts[0].upstream.counts().open;
     wait_for("it runs", || open() == 1).await;
@@ -186,12 +186,12 @@
 #[case::guard_paused(true)]
 #[tokio::test]
 async fn deadline_is_kept(#[case] guard_paused: bool) {
-    let scene = processes_and_entry(1).await;
+    let scene = start_processes_with_entry(1).await;
     scene.update_behaviour(0, |behaviour| behaviour.manner = Mode::Silent);
     if guard_paused {
         scene.process(0).signal(Signal::STOP).expect("paused");
     }
-    let call = within(700, post("late", "key"));
+    let call = with_timeout(700, post("late", "key"));
     let started_at = Instant::now();
     let reply = scene.call(1, &call).await;
     // The grace is 25 ms; the rest is a margin for a busy machine.
@@ -209,10 +209,10 @@
 /// Guards against a refusal that is sent only near the deadline though no upstream can be reached.
 #[tokio::test]
 async fn refusal_does_not_wait_for_the_deadline() {
-    let scene = processes(hosts(1)).await;
+    let scene = start_processes(hosts(1)).await;
     scene.end_upstream(0);
     let started_at = Instant::now();
-    let reply = scene.call(0, &within(60_000, get("refused"))).await;
+    let reply = scene.call(0, &with_timeout(60_000, get("refused"))).await;
     assert!(
         started_at.elapsed() < Duration::from_secs(10),
         "{:?}",
@@ -240,7 +240,7 @@
     let reply = scene.call(ENTRY, &post("after", "key-2")).await;
     assert!(reply.is_success(), "{reply:?}");
     assert_eq!(
-        scene.hosts[BEHIND].upstream.counts().runs.get("after"),
+        scene.hosts[RELAYED].upstream.counts().runs.get("after"),
         Some(&1)
     );
 }
@@ -251,10 +251,10 @@
 #[tokio::test]
 async fn link_silent_under_a_request_ends_as_unknown() {
     let (scene, relay) = relayed().await;
-    scene.update_behaviour(BEHIND, |behaviour| behaviour.service_micros = 400_000);
+    scene.update_behaviour(RELAYED, |behaviour| behaviour.service_micros = 400_000);
     let entry = scene.addresses(ENTRY).callers;
     let caller = scene.caller.clone();
-    let call = within(30_000, post("first", "key"));
+    let call = with_timeout(30_000, post("first", "key"));
     let first = tokio::spawn(async move { caller.call(entry, &call).await });
     wait_for("it runs", || scene.runs("first") == 1).await;
     relay.stall_open_connections();
@@ -298,7 +298,7 @@
 
 #[tokio::test]
 async fn options_put_and_delete_pass() {
-    let scene = threads(hosts(1)).await;
+    let scene = start_threads(hosts(1)).await;
     for method in [Method::OPTIONS, Method::PUT, Method::DELETE] {
         let call = Call {
             method,
@@ -312,13 +312,13 @@
 /// whose outcome is unknown but whose reason is that of the second attempt.
 #[tokio::test]
 async fn refusal_after_a_lost_link_has_its_reason() {
-    let mut scene = processes_and_entry(2).await;
+    let mut scene = start_processes_with_entry(2).await;
     for index in 0..2 {
         scene.update_behaviour(index, |behaviour| behaviour.manner = Mode::Silent);
     }
     let entry = scene.addresses(2).callers;
     let caller = scene.caller.clone();
-    let call = within(20_000, get("lost"));
+    let call = with_timeout(20_000, get("lost"));
     let calling = tokio::spawn(async move { caller.call(entry, &call).await.reply });
     wait_for("the request runs", || scene.runs("lost") == 1).await;
     let has_run = |index: usize| {
@@ -356,7 +356,7 @@
 /// that is closed without a response because the time for the header section has passed.
 #[tokio::test]
 async fn paused_node_answers_what_arrived_meanwhile() {
-    let scene = processes(Plan {
+    let scene = start_processes(Plan {
         adjust: short_header_timeout,
         ..hosts(1)
     })
--- a/crates/node/tests/at_most_once.rs
+++ b/crates/node/tests/at_most_once.rs
@@ -4,7 +4,10 @@
 
 use std::time::Duration;
 
-use common::{bare_post, hosts, post, processes, processes_and_entry, runs, within};
+use common::{
+    hosts, post, post_without_key, start_processes, start_processes_with_entry, total_runs,
+    with_timeout,
+};
 use mintridge_bench::caller::{Call, Reply};
 use mintridge_core::outcome::{Outcome, Reason};
 use mintridge_standin::scene::{Scene, wait_for};
@@ -18,17 +21,17 @@
 /// node. The repeat must not run; it is refused with an unknown outcome.
 #[tokio::test]
 async fn repeat_after_answer_is_refused_as_unknown() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     assert!(scene.call(0, &post("first", "key")).await.is_success());
     let reply = scene.call(1, &post("second", "key")).await;
     assert!(reply.is_unknown(), "{reply:?}");
-    assert_eq!(runs(&scene, &["first", "second"]), 1);
+    assert_eq!(total_runs(&scene, &["first", "second"]), 1);
 }
 
 /// Requests with the same key arrive at all nodes at the same moment; only one may run.
 #[tokio::test]
 async fn repeat_at_the_same_moment_runs_once() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     for round in 0..10 {
         let key = format!("key-{round}");
         let ids: Vec<String> = (0..3).map(|n| format!("{key}-{n}")).collect();
@@ -50,7 +53,7 @@
 /// and the repeat does not run.
 #[tokio::test]
 async fn repeat_after_guard_is_killed_runs_once() {
-    let mut scene = processes_and_entry(1).await;
+    let mut scene = start_processes_with_entry(1).await;
     scene.update_behaviour(0, |behaviour| behaviour.manner = Mode::Silent);
     let entry = scene.addresses(1).callers;
     let caller = scene.caller.clone();
@@ -64,18 +67,18 @@
     scene.wait_until_joined().await;
     let reply = retry_while_not_run(&scene, 1, "second", "key").await;
     assert!(reply.is_unknown(), "{reply:?}");
-    assert_eq!(runs(&scene, &["first", "second"]), 1);
+    assert_eq!(total_runs(&scene, &["first", "second"]), 1);
 }
 
 /// The node beside the upstream is killed while the request runs, and another host offers the same
 /// service. The entry must not retry an unrepeatable request there.
 #[rstest]
 #[case::with_a_key(post("first", "key"))]
-#[case::without_a_key(bare_post("first"))]
+#[case::without_a_key(post_without_key("first"))]
 #[tokio::test]
 async fn killed_guard_is_not_followed_by_another_host(#[case] call: Call) {
-    let mut scene = processes_and_entry(2).await;
-    common::all_behave(&scene, Mode::Silent);
+    let mut scene = start_processes_with_entry(2).await;
+    common::set_all_modes(&scene, Mode::Silent);
     let entry = scene.addresses(2).callers;
     let caller = scene.caller.clone();
     let first = tokio::spawn(async move { caller.call(entry, &call).await.reply });
@@ -109,7 +112,7 @@
 /// through another node must not run.
 #[tokio::test]
 async fn repeat_after_entry_is_killed_runs_once() {
-    let mut scene = processes(hosts(3)).await;
+    let mut scene = start_processes(hosts(3)).await;
     for index in 0..3 {
         scene.update_behaviour(index, |behaviour| behaviour.service_micros = 300_000);
     }
@@ -121,7 +124,7 @@
     assert!(matches!(first.await, Ok(Reply::Broken { .. })));
     let reply = scene.call(1, &post("second", "key")).await;
     assert!(reply.is_unknown(), "{reply:?}");
-    assert_eq!(runs(&scene, &["first", "second"]), 1);
+    assert_eq!(total_runs(&scene, &["first", "second"]), 1);
 }
 
 /// The node beside the upstream is paused while it waits for the store, and resumed after the
@@ -129,14 +132,14 @@
 /// has resumed, and with a repeat under the same key there is at most one run.
 #[tokio::test]
 async fn guard_paused_before_hand_over_runs_nothing_late() {
-    let scene = processes_and_entry(1).await;
+    let scene = start_processes_with_entry(1).await;
     scene.store.set_faults(Faults {
         slow_millis: 300,
         ..Faults::default()
     });
     let entry = scene.addresses(1).callers;
     let caller = scene.caller.clone();
-    let call = within(1_000, post("first", "key"));
+    let call = with_timeout(1_000, post("first", "key"));
     let first = tokio::spawn(async move { caller.call(entry, &call).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
     scene.process(0).signal(Signal::STOP).expect("paused");
@@ -156,14 +159,14 @@
         0,
         "its deadline had passed before the node resumed"
     );
-    assert!(runs(&scene, &["first", "second"]) <= 1, "{reply:?}");
+    assert!(total_runs(&scene, &["first", "second"]) <= 1, "{reply:?}");
 }
 
 /// The store is unavailable. A request with a key is refused at once as not run, with a retry
 /// delay, and runs when the store is available again. Requests without a key are served meanwhile.
 #[tokio::test]
 async fn store_outage_refuses_keyed_requests_as_not_run() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     scene.store.set_faults(Faults {
         down: true,
         ..Faults::default()
@@ -185,7 +188,12 @@
     assert!(retry_after.is_some());
     assert_eq!(scene.runs("first"), 0);
     assert!(scene.call(0, &common::get("lookup")).await.is_success());
-    assert!(scene.call(0, &bare_post("keyless")).await.is_success());
+    assert!(
+        scene
+            .call(0, &post_without_key("keyless"))
+            .await
+            .is_success()
+    );
     scene.store.set_faults(Faults::default());
     assert!(scene.call(0, &post("first", "key")).await.is_success());
     assert_eq!(scene.runs("first"), 1);
@@ -198,20 +206,20 @@
 #[case::denied(Faults { deny_writes: 1, ..Faults::default() })]
 #[tokio::test]
 async fn store_reply_lost_runs_once(#[case] faults: Faults) {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     scene.store.set_faults(faults);
     let reply = scene.call(0, &post("first", "key")).await;
     assert!(reply.is_success(), "{reply:?}");
     let reply = scene.call(1, &post("second", "key")).await;
     assert!(reply.is_unknown(), "{reply:?}");
-    assert_eq!(runs(&scene, &["first", "second"]), 1);
+    assert_eq!(total_runs(&scene, &["first", "second"]), 1);
 }
 
 /// The claim takes effect only after the node has abandoned it. The request was refused as not run,
 /// which must stay true, and its repeat runs at most once.
 #[tokio::test]
 async fn store_write_applied_late_runs_nothing_twice() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     // The fault hits the next write of any kind, so the nodes must have written their seed entries
     // before the claim. Each host is the only one in its zone, so each node writes one.
     wait_for("all seed entries are written", || {
@@ -235,10 +243,10 @@
 /// at its deadline, and is not retried on another host.
 #[tokio::test]
 async fn silent_upstream_is_not_retried() {
-    let scene = processes(hosts(3)).await;
-    common::all_behave(&scene, Mode::Silent);
-    for call in [post("keyed", "key"), bare_post("keyless")] {
-        let call = within(500, call);
+    let scene = start_processes(hosts(3)).await;
+    common::set_all_modes(&scene, Mode::Silent);
+    for call in [post("keyed", "key"), post_without_key("keyless")] {
+        let call = with_timeout(500, call);
         let timed_reply = scene.caller.call(scene.addresses(0).callers, &call).await;
         assert!(timed_reply.reply.is_unknown(), "{:?}", timed_reply.reply);
         assert!(
@@ -263,7 +271,7 @@
 /// claim that the request already holds.
 #[tokio::test]
 async fn unreachable_upstream_fails_over_to_another_host() {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     end_first_upstream(&scene).await;
     for round in 0..6 {
         let id = format!("id-{round}");
@@ -277,7 +285,7 @@
 /// so that the caller's repeat runs when an upstream is available again.
 #[tokio::test]
 async fn refused_everywhere_releases_the_claim() {
-    let scene = processes(hosts(1)).await;
+    let scene = start_processes(hosts(1)).await;
     end_first_upstream(&scene).await;
     let reply = scene.call(0, &post("first", "key")).await;
     assert!(reply.is_not_run(), "{reply:?}");
@@ -294,7 +302,7 @@
     ));
     let reply = retry_while_not_run(&scene, 0, "second", "key").await;
     assert!(reply.is_success(), "{reply:?}");
-    assert_eq!(runs(&scene, &["first", "second"]), 1);
+    assert_eq!(total_runs(&scene, &["first", "second"]), 1);
 }
 
 /// A repeatable request runs and fails on a first host; the second refuses it before it runs, or
@@ -305,8 +313,8 @@
 #[case::none_left(false)]
 #[tokio::test]
 async fn not_run_stays_true_after_a_first_attempt_that_ran(#[case] second_refuses: bool) {
-    let scene = processes(hosts(2)).await;
-    common::all_behave(&scene, Mode::FailSlowly);
+    let scene = start_processes(hosts(2)).await;
+    common::set_all_modes(&scene, Mode::FailSlowly);
     if second_refuses {
         scene.end_upstream(1);
     }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -21,20 +21,20 @@
 use socket2::{Domain, Socket, Type};
 
 /// Starts a scene in which the nodes run as threads of this process.
-pub async fn threads(plan: Plan) -> Scene {
+pub async fn start_threads(plan: Plan) -> Scene {
     Scene::start(plan).await.expect("the scene starts")
 }
 
 /// Starts a scene in which each node is a separate process.
-pub async fn processes(plan: Plan) -> Scene {
+pub async fn start_processes(plan: Plan) -> Scene {
     let binary = Some(PathBuf::from(env!("CARGO_BIN_EXE_mintridge-node")));
-    threads(Plan { binary, ..plan }).await
+    start_threads(Plan { binary, ..plan }).await
 }
 
 /// Starts a scene of processes with `count` hosts of one service, followed by a host of another
 /// service whose node is used as a separate entry.
-pub async fn processes_and_entry(count: usize) -> Scene {
-    let mut scene = processes(hosts(count)).await;
+pub async fn start_processes_with_entry(count: usize) -> Scene {
+    let mut scene = start_processes(hosts(count)).await;
     add_entry(&mut scene).await;
     scene.wait_until_joined().await;
     scene
@@ -57,7 +57,7 @@
 }
 
 /// Starts a server in place of an upstream; `answer` handles each connection on its own thread.
-pub fn answering(answer: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+pub fn serve_connections(answer: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let answer = Arc::new(answer);
@@ -72,7 +72,7 @@
 
 /// Returns a listener that accepts no further connections, and the connections that fill its
 /// backlog.
-pub fn full() -> (SocketAddr, TcpListener, Vec<TcpStream>) {
+pub fn full_listener() -> (SocketAddr, TcpListener, Vec<TcpStream>) {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any: SocketAddr = ([127, 0, 0, 1], 0).into();
     listener.bind(&any.into()).expect("a port");
@@ -140,7 +140,7 @@
 }
 
 /// Returns an unrepeatable call without an idempotency key.
-pub fn bare_post(id: &str) -> Call {
+pub fn post_without_key(id: &str) -> Call {
     Call {
         id: id.to_owned(),
         method: Method::POST,
@@ -149,7 +149,7 @@
 }
 
 /// Returns the call with this timeout.
-pub fn within(millis: u64, call: Call) -> Call {
+pub fn with_timeout(millis: u64, call: Call) -> Call {
     Call {
         timeout: Duration::from_millis(millis),
         ..call
@@ -157,42 +157,42 @@
 }
 
 /// Sets this mode for every upstream.
-pub fn all_behave(scene: &Scene, mode: Mode) {
+pub fn set_all_modes(scene: &Scene, mode: Mode) {
     for index in 0..scene.hosts.len() {
         scene.update_behaviour(index, |behaviour| behaviour.manner = mode);
     }
 }
 
 /// Returns the total number of runs of these request IDs.
-pub fn runs(scene: &Scene, ids: &[&str]) -> u32 {
+pub fn total_runs(scene: &Scene, ids: &[&str]) -> u32 {
     ids.iter().map(|id| scene.runs(id)).sum()
 }
 
 /// Indices of the host behind the relay, and of the entry that reaches that host through the relay.
-pub const BEHIND: usize = 1;
+pub const RELAYED: usize = 1;
 pub const ENTRY: usize = 2;
 
 /// Starts a service of one host, whose peer port all others reach through a relay, and a separate
 /// entry.
 pub async fn relayed() -> (Scene, Arc<Relay>) {
-    let mut scene = threads(hosts(1)).await;
+    let mut scene = start_threads(hosts(1)).await;
     let relay = Arc::new(Relay::default());
     let (listener, address) = loopback().await.expect("a free port");
     let behind = scene.add_with("behind", "service", "zone-a", <_>::default(), |settings| {
         settings.listeners.peers_public = Some(address);
     });
     behind.await.expect("it starts");
-    let target = scene.addresses(BEHIND).peers;
+    let target = scene.addresses(RELAYED).peers;
     tokio::spawn(Arc::clone(&relay).run(listener, target));
     scene.wait_until_joined().await;
     scene.stop(0).await;
     add_entry(&mut scene).await;
-    until_known_behind(&scene, ENTRY).await;
+    wait_until_relayed_known(&scene, ENTRY).await;
     (scene, relay)
 }
 
 /// Waits until the node at `index` knows the host behind the relay.
-pub async fn until_known_behind(scene: &Scene, index: usize) {
+pub async fn wait_until_relayed_known(scene: &Scene, index: usize) {
     let knows = |status: &Status| status.seen.iter().any(|seen| &*seen.host == "behind");
     scene
         .wait_until_on(&[index], "the entry knows the host", knows)
@@ -218,12 +218,12 @@
 
 /// Replies that callers received under load, to be checked against the requests that ran.
 #[derive(Default)]
-pub struct Account {
-    pub told: HashMap<String, Reply>,
+pub struct Replies {
+    pub replies: HashMap<String, Reply>,
     pub unrepeatable: Vec<String>,
 }
 
-impl Account {
+impl Replies {
     /// Sends load and records the replies to the callers.
     pub async fn run(&mut self, plan: &Load) {
         load::run(plan, |record| {
@@ -231,14 +231,14 @@
             if record.call.key.is_some() {
                 self.unrepeatable.push(id.clone());
             }
-            self.told.insert(id, record.timed_reply.reply.clone());
+            self.replies.insert(id, record.timed_reply.reply.clone());
         })
         .await;
     }
 
     /// Checks every reply against what the upstreams recorded.
     pub fn check(&self, scene: &Scene) {
-        for (id, reply) in &self.told {
+        for (id, reply) in &self.replies {
             if reply.is_not_run() {
                 assert_eq!(scene.runs(id), 0, "{id} was refused as not run: {reply:?}");
             }
@@ -256,18 +256,18 @@
 
     /// Returns the number of replies of this kind.
     pub fn count(&self, kind: impl Fn(&Reply) -> bool) -> usize {
-        self.told.values().filter(|reply| kind(reply)).count()
+        self.replies.values().filter(|reply| kind(reply)).count()
     }
 
     /// Asserts that every request succeeded.
     pub fn all_succeeded(&self) {
         let failed: Vec<_> = self
-            .told
+            .replies
             .iter()
             .filter(|(_, reply)| !reply.is_success())
             .take(5)
             .collect();
-        assert!(failed.is_empty(), "of {}: {failed:?}", self.told.len());
+        assert!(failed.is_empty(), "of {}: {failed:?}", self.replies.len());
     }
 }
 
--- a/crates/node/tests/configuration.rs
+++ b/crates/node/tests/configuration.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use common::{Plan, ROUTES, Scene, processes, route, table, write_table};
+use common::{Plan, ROUTES, Scene, route, start_processes, table, write_table};
 use mintridge_node::settings::Settings;
 use mintridge_standin::relay::{Condition, Relay};
 use mintridge_standin::scene::loopback;
@@ -34,7 +34,7 @@
         },
         ..Plan::default()
     };
-    let mut scene = processes(plan).await;
+    let mut scene = start_processes(plan).await;
     let mut relays = Vec::new();
     for index in ALL_HOSTS {
         let relay = Arc::new(Relay::default());
--- a/crates/node/tests/crashes.rs
+++ b/crates/node/tests/crashes.rs
@@ -6,8 +6,8 @@
 
 use bytes::Bytes;
 use common::{
-    Account, Plan, add_entry, bare_post, get, hosts, mixed_load, processes, processes_and_entry,
-    within,
+    Plan, Replies, add_entry, get, hosts, mixed_load, post_without_key, start_processes,
+    start_processes_with_entry, with_timeout,
 };
 use mintridge_bench::caller::{Call, Reply};
 use mintridge_core::outcome::{Outcome, Reason};
@@ -45,13 +45,13 @@
 /// three, which repeats share, so that operators find the same request in the next crash as well.
 #[tokio::test]
 async fn crash_is_logged_with_all_requests_in_progress() {
-    let scene = processes_and_entry(1).await;
+    let scene = start_processes_with_entry(1).await;
     scene.crash_on(Some(CRASHES));
     scene.update_behaviour(0, |behaviour| behaviour.service_micros = 500_000);
     let entry = scene.addresses(1).callers;
     let calls = ["/a", "/b", CRASHES].map(|path| Call {
         path: path.to_owned(),
-        ..within(20_000, get(path))
+        ..with_timeout(20_000, get(path))
     });
     let calls = calls.map(|call| {
         let caller = scene.caller.clone();
@@ -76,7 +76,7 @@
 /// requests must not count as in progress at the crash.
 #[tokio::test]
 async fn end_of_an_upstream_is_told_without_what_its_next_start_got() {
-    let scene = processes(hosts(1)).await;
+    let scene = start_processes(hosts(1)).await;
     scene.announce_restart(0);
     scene.crash_on(Some(CRASHES));
     scene.update_behaviour(0, |behaviour| {
@@ -90,7 +90,7 @@
     let give_up_at = Instant::now() + MAX_WAIT;
     while scene.runs("after") == 0 {
         assert!(Instant::now() < give_up_at, "the request never ran");
-        scene.call(0, &within(1_500, get("after"))).await;
+        scene.call(0, &with_timeout(1_500, get("after"))).await;
     }
     wait_for("the start is announced", || {
         lines(&scene, 0, "upstream announced itself").len() == 2
@@ -102,14 +102,14 @@
 /// An upstream aborts responses but keeps running: no crash is logged.
 #[tokio::test]
 async fn aborted_response_of_a_running_upstream_is_no_crash() {
-    let scene = processes(hosts(1)).await;
-    common::all_behave(&scene, mintridge_standin::upstream::Mode::BreakAnswers);
+    let scene = start_processes(hosts(1)).await;
+    common::set_all_modes(&scene, mintridge_standin::upstream::Mode::BreakAnswers);
     let broken = Call {
         path: format!("{BYTES}1000"),
         ..get("broken")
     };
     assert!(!scene.call(0, &broken).await.is_success());
-    common::all_behave(&scene, mintridge_standin::upstream::Mode::Serve);
+    common::set_all_modes(&scene, mintridge_standin::upstream::Mode::Serve);
     assert!(scene.call(0, &get("last")).await.is_success());
     assert!(lines(&scene, 0, "upstream ended").is_empty());
 }
@@ -128,16 +128,16 @@
 #[case::long_downtime(3_000)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn request_that_crashed_three_upstreams_reaches_few_more(#[case] down_millis: u64) {
-    let scene = processes(hosts(6)).await;
+    let scene = start_processes(hosts(6)).await;
     scene.crash_on(Some(CRASHES));
     for index in 0..6 {
         scene.update_behaviour(index, |behaviour| behaviour.down_millis = down_millis);
     }
     let others = mixed_load(&scene, 60.0, LOAD_DURATION.as_secs_f64());
     let others = tokio::spawn(async move {
-        let mut account = Account::default();
-        account.run(&others).await;
-        account
+        let mut replies = Replies::default();
+        replies.run(&others).await;
+        replies
     });
     let began_at = Instant::now();
     let mut third_crash_at = None;
@@ -160,8 +160,8 @@
         let entry = scene.addresses(n % 6).callers;
         tokio::spawn(async move { caller.call(entry, &crashing(&id)).await });
     }
-    let account = others.await.expect("the load ends");
-    account.check(&scene);
+    let replies = others.await.expect("the load ends");
+    replies.check(&scene);
     assert!(
         third_crash_at.is_some(),
         "fewer than three upstreams crashed"
@@ -214,12 +214,12 @@
 #[case::longer_than_the_digest(40_000)]
 #[tokio::test]
 async fn request_with_another_body_or_account_is_served(#[case] length: usize) {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     scene.crash_on(Some(CRASHES));
     let crashing_call = Call {
         path: String::from(CRASHES),
         body: Bytes::from(vec![b'x'; length]),
-        ..bare_post("held")
+        ..post_without_key("held")
     };
     send_until_quarantined(&scene, &[0, 1, 2], &crashing_call).await;
     let crashes = scene.crashes();
@@ -265,7 +265,7 @@
 /// the request as all other nodes do.
 #[tokio::test]
 async fn started_node_quarantines_what_the_others_do() {
-    let mut scene = processes(hosts(3)).await;
+    let mut scene = start_processes(hosts(3)).await;
     scene.crash_on(Some(CRASHES));
     send_until_quarantined(&scene, &[0, 1, 2], &crashing("held")).await;
     scene.kill(0).await;
@@ -289,7 +289,7 @@
     let adjust = |settings: &mut Settings| {
         settings.quarantine.trial_after = Duration::from_secs(2);
     };
-    let scene = processes(Plan { adjust, ..hosts(3) }).await;
+    let scene = start_processes(Plan { adjust, ..hosts(3) }).await;
     scene.crash_on(Some(CRASHES));
     send_until_quarantined(&scene, &[0, 1, 2], &crashing("held")).await;
     scene.crash_on(None);
@@ -309,7 +309,7 @@
     let adjust = |settings: &mut Settings| {
         settings.quarantine.trial_after = Duration::from_secs(2);
     };
-    let scene = processes(Plan { adjust, ..hosts(4) }).await;
+    let scene = start_processes(Plan { adjust, ..hosts(4) }).await;
     scene.crash_on(Some(CRASHES));
     send_until_quarantined(&scene, &[0, 1, 2, 3], &crashing("held")).await;
     let crashes = scene.crashes();
@@ -330,15 +330,15 @@
 /// crashes. The common request must be served as soon as an upstream is back.
 #[tokio::test]
 async fn common_request_is_served_after_a_loss_of_all_upstreams() {
-    let scene = processes(hosts(4)).await;
+    let scene = start_processes(hosts(4)).await;
     scene.crash_on(Some(CRASHES));
-    let mut account = Account::default();
+    let mut replies = Replies::default();
     for n in 0..2 {
         let load = mixed_load(&scene, 100.0, 1.0);
         let callers = tokio::spawn(async move {
-            let mut account = Account::default();
-            account.run(&load).await;
-            account
+            let mut replies = Replies::default();
+            replies.run(&load).await;
+            replies
         });
         tokio::time::sleep(Duration::from_millis(300)).await;
         for entry in 0..4 {
@@ -350,16 +350,16 @@
         callers.await.expect("the load ends").check(&scene);
         tokio::time::sleep(Duration::from_secs(2)).await;
     }
-    account.run(&mixed_load(&scene, 100.0, 2.0)).await;
-    account.check(&scene);
-    account.all_succeeded();
+    replies.run(&mixed_load(&scene, 100.0, 2.0)).await;
+    replies.check(&scene);
+    replies.all_succeeded();
 }
 
 /// All nodes lose power at once while a request is quarantined, so that none has it in memory. No
 /// upstream may crash by its repeats again, since the quarantine is kept in the store.
 #[tokio::test]
 async fn quarantine_survives_a_loss_of_all_nodes() {
-    let mut scene = processes(hosts(3)).await;
+    let mut scene = start_processes(hosts(3)).await;
     scene.crash_on(Some(CRASHES));
     send_until_quarantined(&scene, &[0, 1, 2], &crashing("held")).await;
     tokio::time::sleep(STORE_WRITE_TIMEOUT).await;
--- a/crates/node/tests/drill.rs
+++ b/crates/node/tests/drill.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use common::{Scene, get, hosts, post, preset, processes, runs, until_revision};
+use common::{Scene, get, hosts, post, preset, start_processes, total_runs, until_revision};
 use mintridge_core::preset::InForce;
 use mintridge_standin::scene::wait_for;
 use mintridge_standin::store::drill::Drill;
@@ -38,7 +38,7 @@
 /// peers.
 #[tokio::test]
 async fn change_accepted_before_the_loss_stays_in_force() {
-    let mut scene = processes(hosts(4)).await;
+    let mut scene = start_processes(hosts(4)).await;
     put_in_force(&scene, 0.1, "first").await;
     scene.store.take_backup();
     let second = put_in_force(&scene, 0.2, "second").await;
@@ -68,7 +68,7 @@
 /// revision that nodes have already seen, and it must be in force everywhere in time nevertheless.
 #[tokio::test]
 async fn change_after_the_return_is_in_force() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     put_in_force(&scene, 0.1, "first").await;
     scene.store.take_backup();
     for n in 0..20 {
@@ -89,7 +89,7 @@
 /// there, so the entries must be back within two seconds, also after a second loss.
 #[tokio::test]
 async fn entries_are_back_after_the_return() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     until_entries(&scene, 3).await;
     for loss in 0..2 {
         scene.store.remove_all(SEEDS);
@@ -108,13 +108,13 @@
 /// answers that the request may have run.
 #[tokio::test]
 async fn repeat_of_a_claim_that_was_lost_runs_once() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     until_entries(&scene, 3).await;
     scene.store.take_backup();
     assert!(scene.call(0, &post("first", "key")).await.is_success());
     scene.store.drill(Drill::default()).await;
     let result = scene.call(1, &post("second", "key")).await;
-    assert_eq!(runs(&scene, &["first", "second"]), 1, "{result:?}");
+    assert_eq!(total_runs(&scene, &["first", "second"]), 1, "{result:?}");
     assert!(result.is_unknown(), "{result:?}");
 }
 
@@ -123,7 +123,7 @@
 /// must not report an older preset than before.
 #[tokio::test]
 async fn node_that_was_paused_over_the_return_catches_up() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     until_entries(&scene, 3).await;
     scene.store.remove_all(SEEDS);
     scene.store.take_backup();
@@ -142,7 +142,7 @@
 /// know the newer one until the operator writes it again; from then on every node must report it.
 #[tokio::test]
 async fn loss_of_all_nodes_during_the_drill_ends_with_the_repeated_preset() {
-    let mut scene = processes(hosts(3)).await;
+    let mut scene = start_processes(hosts(3)).await;
     put_in_force(&scene, 0.1, "first").await;
     scene.store.take_backup();
     let second = scene
@@ -164,7 +164,7 @@
 /// loss. Callers must be served throughout, and no node may return to an older preset.
 #[tokio::test]
 async fn two_losses_with_restarts_keep_the_preset_and_serve_callers() {
-    let mut scene = processes(hosts(3)).await;
+    let mut scene = start_processes(hosts(3)).await;
     let mut newest = put_in_force(&scene, 0.1, "first").await;
     for loss in 0..2_u32 {
         until_revision(&scene, newest.revision.0).await;
--- a/crates/node/tests/evacuation.rs
+++ b/crates/node/tests/evacuation.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Plan, ROUTES, Scene, get, processes, route, table, write_table};
+use common::{Plan, ROUTES, Scene, get, route, start_processes, table, write_table};
 use mintridge_node::operators::Status;
 use mintridge_standin::store::drill::Drill;
 use mintridge_store::operation::{Put, Swap};
@@ -28,7 +28,7 @@
         },
         ..Plan::default()
     };
-    let scene = processes(plan).await;
+    let scene = start_processes(plan).await;
     write_table(&scene, &table(1, vec![route("/")]));
     let in_force = |status: &Status| status.routes_version == 1;
     scene.wait_until("the routes are in force", in_force).await;
--- a/crates/node/tests/explain.rs
+++ b/crates/node/tests/explain.rs
@@ -7,7 +7,8 @@
 use std::{env, fs};
 
 use common::{
-    Plan, ROUTES, Scene, add_entry, bare_post, hosts, processes, table, within, write_table,
+    Plan, ROUTES, Scene, add_entry, hosts, post_without_key, start_processes, table, with_timeout,
+    write_table,
 };
 use mintridge_ctl::commands::explain::{self, History};
 use mintridge_node::operators::Status;
@@ -72,16 +73,18 @@
 /// is refused at once. The logs must show the load that led to the refusal.
 #[tokio::test]
 async fn story_of_a_refusal_without_a_free_slot() {
-    let scene = processes(one_slot()).await;
+    let scene = start_processes(one_slot()).await;
     let entry = scene.addresses(0).callers;
     let caller = scene.caller.clone();
-    let first = tokio::spawn(async move { caller.call(entry, &bare_post("first")).await });
+    let first = tokio::spawn(async move { caller.call(entry, &post_without_key("first")).await });
     scene
         .wait_until("the slot is taken", |status| {
             status.guarded.load.in_flight == 1
         })
         .await;
-    let reply = scene.call(0, &within(5, bare_post("refused"))).await;
+    let reply = scene
+        .call(0, &with_timeout(5, post_without_key("refused")))
+        .await;
     assert!(reply.is_not_run(), "{reply:?}");
     let story = story(&scene, "refused").await;
     assert!(story.cause.contains("deadline (503)"), "{}", story.cause);
@@ -97,12 +100,12 @@
 /// link broke.
 #[tokio::test]
 async fn story_of_an_unknown_outcome() {
-    let mut scene = processes(one_slot()).await;
+    let mut scene = start_processes(one_slot()).await;
     add_entry(&mut scene).await;
     scene.wait_until_joined().await;
     let entry = scene.addresses(ENTRY).callers;
     let caller = scene.caller.clone();
-    let call = tokio::spawn(async move { caller.call(entry, &bare_post("lost")).await });
+    let call = tokio::spawn(async move { caller.call(entry, &post_without_key("lost")).await });
     let is_running = |status: &Status| status.guarded.load.in_flight == 1;
     scene
         .wait_until_on(&[0], "the slot is taken", is_running)
@@ -125,12 +128,12 @@
         use_caller_ids(settings);
         settings.routes.key = Some(String::from(ROUTES));
     };
-    let scene = processes(Plan { adjust, ..hosts(1) }).await;
+    let scene = start_processes(Plan { adjust, ..hosts(1) }).await;
     write_table(&scene, &table(7, vec![]));
     scene
         .wait_until("the table is in force", |status| status.routes_version == 7)
         .await;
-    let reply = scene.call(0, &bare_post("gone")).await;
+    let reply = scene.call(0, &post_without_key("gone")).await;
     assert!(reply.is_not_run(), "{reply:?}");
     let story = story(&scene, "gone").await;
     assert!(story.cause.contains("no-route (404)"), "{}", story.cause);
--- a/crates/node/tests/leaving.rs
+++ b/crates/node/tests/leaving.rs
@@ -6,7 +6,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use common::{Account, get, hosts, mixed_load, processes, processes_and_entry, within};
+use common::{
+    Replies, get, hosts, mixed_load, start_processes, start_processes_with_entry, with_timeout,
+};
 use mintridge_core::preset::Preset;
 use mintridge_node::announcement::State;
 use mintridge_node::operators::Status;
@@ -34,19 +36,19 @@
 /// another one once it closes.
 #[tokio::test]
 async fn stop_of_a_node_cuts_no_request() {
-    let mut scene = processes(hosts(3)).await;
+    let mut scene = start_processes(hosts(3)).await;
     let mut load = mixed_load(&scene, 150.0, 5.0);
     load.targets.remove(0);
     let sending = tokio::spawn(async move {
-        let mut account = Account::default();
-        account.run(&load).await;
-        account
+        let mut replies = Replies::default();
+        replies.run(&load).await;
+        replies
     });
     tokio::time::sleep(Duration::from_secs(1)).await;
     scene.stop(0).await;
-    let account = sending.await.expect("the load ends");
-    account.check(&scene);
-    account.all_succeeded();
+    let replies = sending.await.expect("the load ends");
+    replies.check(&scene);
+    replies.all_succeeded();
 }
 
 /// The node of a service's only host is stopped. While its own callers are still being asked to
@@ -54,7 +56,7 @@
 /// unavailable only while nothing can reach it.
 #[tokio::test]
 async fn stop_serves_the_upstream_while_callers_leave() {
-    let scene = processes_and_entry(1).await;
+    let scene = start_processes_with_entry(1).await;
     scene
         .process(0)
         .signal(Signal::TERM)
@@ -72,13 +74,13 @@
 /// response.
 #[tokio::test]
 async fn stop_of_the_entry_node_finishes_requests_in_progress() {
-    let mut scene = processes(hosts(2)).await;
+    let mut scene = start_processes(hosts(2)).await;
     for index in 0..2 {
         scene.update_behaviour(index, |behaviour| behaviour.service_micros = 2_500_000);
     }
     let entry = scene.addresses(0).callers;
     let caller = scene.caller.clone();
-    let call = within(20_000, get("long"));
+    let call = with_timeout(20_000, get("long"));
     let long = tokio::spawn(async move { caller.call(entry, &call).await.reply });
     wait_for("the request runs", || scene.runs("long") == 1).await;
     scene.stop(0).await;
@@ -90,7 +92,7 @@
 /// the listener is closed.
 #[tokio::test]
 async fn stop_sends_connection_close_before_it_closes() {
-    let mut scene = processes(hosts(2)).await;
+    let mut scene = start_processes(hosts(2)).await;
     let entry = scene.addresses(0).callers;
     let caller = scene.caller.clone();
     let sending = tokio::spawn(async move {
@@ -115,28 +117,28 @@
 /// gets no new ones.
 #[tokio::test]
 async fn drain_of_an_upstream_cuts_no_request() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     let load = mixed_load(&scene, 150.0, 5.0);
     let sending = tokio::spawn(async move {
-        let mut account = Account::default();
-        account.run(&load).await;
-        account
+        let mut replies = Replies::default();
+        replies.run(&load).await;
+        replies
     });
     tokio::time::sleep(Duration::from_secs(1)).await;
     scene.announce(0, State::Draining);
     tokio::time::sleep(LEAVING_TIMEOUT).await;
     let before = requests(&scene, 0);
-    let account = sending.await.expect("the load ends");
+    let replies = sending.await.expect("the load ends");
     assert_eq!(requests(&scene, 0), before, "new requests after leaving");
-    account.check(&scene);
-    account.all_succeeded();
+    replies.check(&scene);
+    replies.all_succeeded();
 }
 
 /// The preset in force names a host as leaving: the host finishes its requests, gets no new ones,
 /// and serves again once a later preset no longer names it.
 #[tokio::test]
 async fn preset_drains_a_host_and_restores_it() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     scene
         .activate_preset(leaving("service-1"), "out")
         .await
@@ -149,9 +151,9 @@
         })
         .await;
     let before = requests(&scene, 0);
-    let mut account = Account::default();
-    account.run(&mixed_load(&scene, 100.0, 2.0)).await;
-    account.all_succeeded();
+    let mut replies = Replies::default();
+    replies.run(&mixed_load(&scene, 100.0, 2.0)).await;
+    replies.all_succeeded();
     assert_eq!(requests(&scene, 0), before);
     scene
         .activate_preset(Preset::default(), "back")
@@ -171,8 +173,8 @@
                 .all(|record| record.upstream.as_ref().is_some_and(|u| !u.leaving))
         })
         .await;
-    account.run(&mixed_load(&scene, 100.0, 2.0)).await;
-    account.all_succeeded();
+    replies.run(&mixed_load(&scene, 100.0, 2.0)).await;
+    replies.all_succeeded();
     assert!(requests(&scene, 0) > before);
 }
 
@@ -185,7 +187,7 @@
 #[case::long(Duration::from_secs(12))]
 #[tokio::test]
 async fn paused_node_that_missed_the_preset_runs_nothing_on_resume(#[case] pause: Duration) {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     let before = requests(&scene, 0);
     let paused_at = Instant::now();
     scene.process(0).signal(Signal::STOP).expect("paused");
@@ -199,7 +201,7 @@
     let waiting: Vec<_> = (0..30)
         .map(|n| {
             let caller = scene.caller.clone();
-            let call = within(30_000, get(&format!("early-{n}")));
+            let call = with_timeout(30_000, get(&format!("early-{n}")));
             tokio::spawn(async move { caller.call(entry, &call).await.reply })
         })
         .collect();
@@ -226,7 +228,7 @@
 /// which the node joined is cut.
 #[tokio::test]
 async fn requests_of_a_partitioned_entry_to_a_leaving_host_are_refused() {
-    let mut scene = processes(hosts(2)).await;
+    let mut scene = start_processes(hosts(2)).await;
     let (listener, relay_address) = loopback().await.expect("a free port");
     let relay = Arc::new(Relay::default());
     tokio::spawn(Arc::clone(&relay).run(listener, scene.addresses(0).control));
@@ -278,7 +280,7 @@
 /// from their peers.
 #[tokio::test]
 async fn drain_needs_no_store() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     scene.store.set_faults(Faults {
         down: true,
         ..Faults::default()
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    BEHIND, ENTRY, Plan, Scene, bare_post, get, hosts, processes, relayed, until_known_behind,
-    within,
+    ENTRY, Plan, RELAYED, Scene, get, hosts, post_without_key, relayed, start_processes,
+    wait_until_relayed_known, with_timeout,
 };
 use mintridge_standin::relay::Condition;
 use mintridge_standin::scene::wait_for;
@@ -30,7 +30,7 @@
         adjust: close_soon,
         ..hosts(6)
     };
-    let scene = processes(plan).await;
+    let scene = start_processes(plan).await;
     for number in 0..60 {
         let reply = scene.call(0, &get(&format!("id-{number}"))).await;
         assert!(reply.is_success(), "{reply:?}");
@@ -76,7 +76,7 @@
     let mut sent = JoinSet::new();
     for n in 0..CONCURRENT_REQUESTS {
         let caller = scene.caller.clone();
-        let call = within(30_000, get(&format!("id-{n}")));
+        let call = with_timeout(30_000, get(&format!("id-{n}")));
         sent.spawn(async move { caller.call(entry, &call).await });
     }
     for timed_reply in sent.join_all().await {
@@ -94,7 +94,9 @@
 #[tokio::test]
 async fn request_is_not_run_if_its_deadline_passes_during_a_link_check() {
     let scene = scene_with_silent_link().await;
-    let reply = scene.call(ENTRY, &within(100, bare_post("waits"))).await;
+    let reply = scene
+        .call(ENTRY, &with_timeout(100, post_without_key("waits")))
+        .await;
     assert!(reply.is_not_run(), "{reply:?}");
 }
 
@@ -113,15 +115,15 @@
     });
     added.await.expect("it starts");
     let entry = scene.hosts.len() - 1;
-    until_known_behind(&scene, entry).await;
+    wait_until_relayed_known(&scene, entry).await;
     assert!(scene.call(entry, &get("opens-the-link")).await.is_success());
-    scene.update_behaviour(BEHIND, |behaviour| behaviour.manner = Mode::Silent);
+    scene.update_behaviour(RELAYED, |behaviour| behaviour.manner = Mode::Silent);
     let calling = {
         let caller = scene.caller.clone();
         let address = scene.addresses(entry).callers;
         tokio::spawn(async move {
             caller
-                .call(address, &within(3_000, bare_post("lost")))
+                .call(address, &with_timeout(3_000, post_without_key("lost")))
                 .await
         })
     };
--- a/crates/node/tests/measuring.rs
+++ b/crates/node/tests/measuring.rs
@@ -4,7 +4,9 @@
 
 use std::time::{Duration, Instant};
 
-use common::{Account, all_behave, bare_post, get, hosts, mixed_load, processes, within};
+use common::{
+    Replies, get, hosts, mixed_load, post_without_key, set_all_modes, start_processes, with_timeout,
+};
 use mintridge_core::preset::Preset;
 use mintridge_standin::scene::Scene;
 use mintridge_standin::upstream::Mode;
@@ -22,11 +24,11 @@
 /// load from the requests themselves.
 #[tokio::test]
 async fn steady_traffic_costs_no_probe() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let mut account = Account::default();
-    account.run(&mixed_load(&scene, 150.0, 2.0)).await;
-    account.all_succeeded();
+    let mut replies = Replies::default();
+    replies.run(&mixed_load(&scene, 150.0, 2.0)).await;
+    replies.all_succeeded();
     assert_eq!(probes(&scene), 0);
 }
 
@@ -34,12 +36,12 @@
 /// must use no more of the upstreams' time than the share granted by the preset.
 #[tokio::test]
 async fn hanging_probes_of_all_upstreams_stay_in_the_budget() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     let started_at = Instant::now();
     for index in 0..3 {
         scene.update_behaviour(index, |behaviour| behaviour.hang_probes = true);
     }
-    all_behave(&scene, Mode::FailFast);
+    set_all_modes(&scene, Mode::FailFast);
     for n in 0..400 {
         scene.call(n % 3, &get(&format!("id-{n}"))).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -66,13 +68,13 @@
     #[case] service_micros: u64,
     #[case] allowed_millis: u64,
 ) {
-    let scene = processes(hosts(1)).await;
+    let scene = start_processes(hosts(1)).await;
     scene.update_behaviour(0, |behaviour| {
         behaviour.manner = mode;
         behaviour.service_micros = service_micros;
     });
     for n in 0..10 {
-        let call = within(allowed_millis, bare_post(&format!("failing-{n}")));
+        let call = with_timeout(allowed_millis, post_without_key(&format!("failing-{n}")));
         let result = scene.call(0, &call).await;
         assert!(!result.is_success() && !result.is_not_run(), "{result:?}");
     }
@@ -87,8 +89,8 @@
 /// again without a restart.
 #[tokio::test]
 async fn doubtful_upstreams_recover_without_a_restart() {
-    let scene = processes(hosts(2)).await;
-    all_behave(&scene, Mode::FailFast);
+    let scene = start_processes(hosts(2)).await;
+    set_all_modes(&scene, Mode::FailFast);
     for n in 0..20 {
         scene.call(n % 2, &get(&format!("id-{n}"))).await;
     }
@@ -97,7 +99,7 @@
         .await;
     let result = scene.call(0, &get("refused")).await;
     assert!(result.is_not_run(), "{result:?}");
-    all_behave(&scene, Mode::Serve);
+    set_all_modes(&scene, Mode::Serve);
     scene
         .wait_until("none is doubtful", |status| !status.guarded.doubtful)
         .await;
--- a/crates/node/tests/pace.rs
+++ b/crates/node/tests/pace.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU32, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use common::answering;
+use common::serve_connections;
 use mintridge_bench::caller::{Call, Caller};
 use mintridge_node::adapter::Adapter;
 use mintridge_node::node::{self, Node};
@@ -29,7 +29,7 @@
 
 fn upstream(state: &Arc<UpstreamState>) -> SocketAddr {
     let state = Arc::clone(state);
-    answering(move |stream| serve(stream, &state))
+    serve_connections(move |stream| serve(stream, &state))
 }
 
 /// Answers requests without a body until the connection is closed.
--- a/crates/node/tests/presets.rs
+++ b/crates/node/tests/presets.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use common::{Account, hosts, mixed_load, preset, processes, until_revision};
+use common::{Replies, hosts, mixed_load, preset, start_processes, until_revision};
 use mintridge_core::preset::{InForce, Preset, Revision};
 use mintridge_node::settings::Settings;
 use mintridge_standin::cost::calls_since;
@@ -40,7 +40,7 @@
 
 #[tokio::test]
 async fn use_is_in_force_on_every_node_within_seconds() {
-    let scene = processes(hosts(6)).await;
+    let scene = start_processes(hosts(6)).await;
     for revision in 1..=3 {
         let mark = format!("operator-{revision}");
         let in_force = scene
@@ -58,12 +58,12 @@
 /// caller sees anything of it.
 #[tokio::test]
 async fn use_under_load_cuts_nothing() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     let load = mixed_load(&scene, 150.0, 3.0);
     let sending = tokio::spawn(async move {
-        let mut account = Account::default();
-        account.run(&load).await;
-        account
+        let mut replies = Replies::default();
+        replies.run(&load).await;
+        replies
     });
     for change in 1..=5_u32 {
         let preset = preset(f64::from(change) / 100.0);
@@ -74,9 +74,9 @@
             .expect("accepted");
         until_revision(&scene, in_force.revision.0).await;
     }
-    let account = sending.await.expect("the load ends");
-    account.check(&scene);
-    account.all_succeeded();
+    let replies = sending.await.expect("the load ends");
+    replies.check(&scene);
+    replies.all_succeeded();
 }
 
 /// Accepted, and at that moment the store goes out, or its watches fall silent: nodes
@@ -86,7 +86,7 @@
 #[case::slow(Faults { slow_millis: 200, ..Faults::default() })]
 #[tokio::test]
 async fn use_reaches_all_although(#[case] faults: Faults) {
-    let scene = processes(hosts(4)).await;
+    let scene = start_processes(hosts(4)).await;
     scene.store.set_faults(faults);
     let in_force = scene
         .activate_preset(preset(0.2), "operator")
@@ -115,7 +115,7 @@
 /// settings, and learns the preset in force and the members from it.
 #[tokio::test]
 async fn node_that_starts_during_an_outage_learns_from_peers() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     let peers = vec![scene.addresses(0).control, scene.addresses(1).control];
     last_node_learns_from_peers(scene, |settings| settings.peers = peers).await;
 }
@@ -123,7 +123,7 @@
 /// The same, where the settings name hosts by another of their ports.
 #[tokio::test]
 async fn node_that_starts_during_an_outage_finds_peers_by_their_hosts() {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     let named = scene.addresses(0);
     last_node_learns_from_peers(scene, |settings| {
         settings.peers = vec![named.announcements];
@@ -141,7 +141,7 @@
 async fn entry_that_the_store_took_away_comes_back(#[case] outage: bool) {
     let mut plan = hosts(1);
     plan.adjust = |settings| settings.control.seeds_every = Duration::from_secs(1);
-    let scene = processes(plan).await;
+    let scene = start_processes(plan).await;
     let key = format!("{SEEDS}{}", scene.hosts[0].name);
     let is_there = || scene.store.value(&key).is_some();
     wait_for("the entry is there", is_there).await;
@@ -158,7 +158,7 @@
 /// the other is told who was first.
 #[tokio::test]
 async fn two_operators_one_wins_and_the_other_is_told() {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     let store = scene.operator_client();
     for name in ["day", "peak"] {
         let author = author("setup");
@@ -197,7 +197,7 @@
 #[case::denied(Faults { deny_writes: 1, ..Faults::default() })]
 #[tokio::test]
 async fn use_with_a_lost_reply_says_that_it_took(#[case] faults: Faults) {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     let store = scene.operator_client();
     presets::put(&store, "day", preset(0.2), None, &author("ana"))
         .await
@@ -212,7 +212,7 @@
 
 #[tokio::test]
 async fn use_with_the_store_down_says_that_nothing_changed() {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     let store = scene.operator_client();
     presets::put(&store, "day", preset(0.2), None, &author("ana"))
         .await
@@ -230,7 +230,7 @@
 /// An edit of the preset in force is itself in force everywhere.
 #[tokio::test]
 async fn put_of_the_preset_in_force_is_in_force() {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     scene
         .activate_preset(preset(0.2), "ana")
         .await
@@ -250,7 +250,7 @@
 /// node goes back, and the last good preset stays in force.
 #[tokio::test]
 async fn nothing_old_or_wrong_reverts_what_is_in_force() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     let (old, _) = two_in_force(&scene).await;
     until_revision(&scene, 2).await;
     scene.store.replay(IN_FORCE, &old);
@@ -284,7 +284,7 @@
 #[case::garbage(Some(0))]
 #[tokio::test]
 async fn store_from_before_is_brought_up_to_date(#[case] revision: Option<u64>) {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     let (old, latest) = two_in_force(&scene).await;
     until_revision(&scene, latest.revision.0).await;
     match revision {
@@ -315,7 +315,7 @@
 /// peers bring it to the latest.
 #[tokio::test]
 async fn frozen_node_catches_up_from_peers() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     scene.process(2).signal(Signal::STOP).expect("frozen");
     scene
         .activate_preset(preset(0.2), "ana")
@@ -347,7 +347,7 @@
 async fn store_that_is_out_is_asked_little() {
     let mut plan = hosts(1);
     plan.adjust = |settings| settings.control.seeds_every = Duration::from_millis(500);
-    let scene = processes(plan).await;
+    let scene = start_processes(plan).await;
     let key = format!("{SEEDS}{}", scene.hosts[0].name);
     wait_for("the entry is there", || scene.store.value(&key).is_some()).await;
     tokio::time::sleep(Duration::from_millis(1500)).await;
--- a/crates/node/tests/reload.rs
+++ b/crates/node/tests/reload.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{Scene, get, hosts, processes};
+use common::{Scene, get, hosts, start_processes};
 use mintridge_node::reload::Changes;
 use mintridge_node::settings::Settings;
 use rstest::rstest;
@@ -42,7 +42,7 @@
 #[case::without_a_signal(false)]
 #[tokio::test]
 async fn changed_settings_are_applied(#[case] signalled: bool) {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     rewrite(&scene, "\"placements\":3", "\"placements\":2");
     if signalled {
         send_sighup(&scene);
@@ -55,7 +55,7 @@
 /// keeps serving callers. The corrected file is applied.
 #[tokio::test]
 async fn invalid_settings_are_rejected() {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     rewrite(&scene, "\"slots_share\":1.0", "\"slots_share\":7.0");
     send_sighup(&scene);
     wait_for_reload(&scene, "rejected").await;
@@ -69,7 +69,7 @@
 /// A SIGHUP without a change to the file only counts as an unchanged reload.
 #[tokio::test]
 async fn unchanged_settings_are_counted() {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     send_sighup(&scene);
     wait_for_reload(&scene, "unchanged").await;
     assert!(scene.call(0, &get("after")).await.is_success());
--- a/crates/node/tests/restart.rs
+++ b/crates/node/tests/restart.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use common::full;
+use common::full_listener;
 use mintridge_bench::caller::{Call, Caller, Reply};
 use mintridge_core::outcome::{Outcome, Reason};
 use mintridge_node::adapter::Adapter;
@@ -124,7 +124,7 @@
 /// Guards against a start that is doubted since requests still waited for a connection to the one before.
 #[tokio::test(flavor = "multi_thread")]
 async fn restart_while_requests_wait_for_a_connection_makes_no_doubt() {
-    let (address, _listener, _waiting) = full();
+    let (address, _listener, _waiting) = full_listener();
     let mut settings = settings(address);
     settings.guard.connect_within = WAIT_MOST;
     let node = node::start(settings, Adapter::default()).expect("it starts");
--- a/crates/node/tests/routes.rs
+++ b/crates/node/tests/routes.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{Plan, ROUTES, Scene, get, processes, route, table, write_table};
+use common::{Plan, ROUTES, Scene, get, route, start_processes, table, write_table};
 use mintridge_bench::caller::{Call, Reply};
 use mintridge_core::outcome::Reason;
 use mintridge_core::route::{Route, Table};
@@ -46,7 +46,7 @@
         },
         ..Plan::default()
     };
-    processes(plan).await
+    start_processes(plan).await
 }
 
 /// Operators add 1,900 routes at once, which makes the table longer than a message between nodes
--- a/crates/node/tests/strangers.rs
+++ b/crates/node/tests/strangers.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use common::{get, hosts, processes};
+use common::{get, hosts, start_processes};
 use mintridge_bench::caller::{Call, Reply};
 use mintridge_core::outcome::Reason;
 use mintridge_standin::scene::Scene;
@@ -48,7 +48,7 @@
 )]
 #[tokio::test]
 async fn smuggled_request_runs_nowhere(#[case] bytes: &str) {
-    let scene = processes(hosts(1)).await;
+    let scene = start_processes(hosts(1)).await;
     send(scene.addresses(0).callers, bytes.as_bytes()).await;
     assert_eq!(scene.runs("smuggled"), 0);
     assert_still_serves(&scene).await;
@@ -68,7 +68,7 @@
 #[case::not_http("\u{16}\u{3}\u{1}garbage\r\n\r\n", "400")]
 #[tokio::test]
 async fn malformed_call_gets_a_clear_refusal(#[case] bytes: &str, #[case] status: &str) {
-    let scene = processes(hosts(1)).await;
+    let scene = start_processes(hosts(1)).await;
     let answer = send(scene.addresses(0).callers, bytes.as_bytes()).await;
     assert!(
         answer.starts_with(&format!("HTTP/1.1 {status}")),
@@ -79,7 +79,7 @@
 
 #[tokio::test]
 async fn oversized_headers_are_refused() {
-    let scene = processes(hosts(1)).await;
+    let scene = start_processes(hosts(1)).await;
     let oversized = format!(
         "GET / HTTP/1.1\r\nhost: service\r\nx-huge: {}\r\n\r\n",
         "x".repeat(200_000)
@@ -100,7 +100,7 @@
 #[case::huge_length(&[0, 0, 0, 0, 255, 255, 255, 127])]
 #[tokio::test]
 async fn garbage_on_every_port_has_no_effect(#[case] bytes: &[u8]) {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     let addresses = scene.addresses(0);
     let ports = [
         addresses.callers,
@@ -120,7 +120,7 @@
 /// request is served as any other.
 #[tokio::test]
 async fn headers_of_peers_from_outside_are_dropped() {
-    let scene = processes(hosts(1)).await;
+    let scene = start_processes(hosts(1)).await;
     let call = "GET / HTTP/1.1\r\nhost: service\r\nmintridge-to-service: other\r\n\
                 mintridge-left-us: 1\r\nmintridge-claim: x\r\nmintridge-outcome: not-run\r\n\
                 x-request-id: own\r\nconnection: close\r\n\r\n";
@@ -141,7 +141,7 @@
 /// unrepeatable request must not be sent to another host.
 #[tokio::test]
 async fn refusal_of_a_nested_call_is_passed_on_as_a_response() {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     let call = Call {
         path: String::from("/deeper"),
         ..common::post("deep", "key")
@@ -154,7 +154,7 @@
 /// Many callers open connections and send only part of a header section. Others must be served.
 #[tokio::test]
 async fn slow_senders_do_not_block_others() {
-    let scene = processes(hosts(1)).await;
+    let scene = start_processes(hosts(1)).await;
     let mut slow = Vec::new();
     for _ in 0..300 {
         let mut stream = TcpStream::connect(scene.addresses(0).callers)
@@ -168,7 +168,7 @@
 
 #[tokio::test]
 async fn unknown_service_is_not_run() {
-    let scene = processes(hosts(1)).await;
+    let scene = start_processes(hosts(1)).await;
     let call = Call {
         service: String::from("nobody"),
         ..get("lost")
--- a/crates/node/tests/streams.rs
+++ b/crates/node/tests/streams.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::{bare_post, get, hosts, post, processes};
+use common::{get, hosts, post, post_without_key, start_processes};
 use mintridge_bench::caller::{Call, Reply};
 use mintridge_standin::cost;
 use mintridge_standin::scene::Scene;
@@ -25,7 +25,7 @@
 
 #[tokio::test]
 async fn download_leaves_memory_flat() {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     let before = resident_bytes(&scene);
     let call = Call {
         path: format!("/bytes/{LARGE_BODY_BYTES}"),
@@ -44,7 +44,7 @@
 
 #[tokio::test]
 async fn upload_leaves_memory_flat() {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     let before = resident_bytes(&scene);
     for entry in 0..2 {
         let call = Call {
@@ -66,7 +66,7 @@
 /// flow control windows, and other callers are served meanwhile.
 #[tokio::test]
 async fn slow_reader_delays_no_other_caller() {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     let before = resident_bytes(&scene);
     let mut slow = TcpStream::connect(scene.addresses(0).callers)
         .await
@@ -94,12 +94,12 @@
 /// sends: the node refuses the request before it has read any of its large body.
 #[tokio::test]
 async fn refusal_before_the_body_is_read_reaches_the_caller() {
-    let scene = processes(hosts(1)).await;
+    let scene = start_processes(hosts(1)).await;
     for n in 0..200 {
         let call = Call {
             service: String::from("nobody"),
             body: Bytes::from(vec![0; 40_000]),
-            ..bare_post(&format!("refused-{n}"))
+            ..post_without_key(&format!("refused-{n}"))
         };
         let reply = scene.call(0, &call).await;
         assert!(reply.is_not_run(), "{n}: {reply:?}");
--- a/crates/node/tests/traces.rs
+++ b/crates/node/tests/traces.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Plan, get, hosts, threads};
+use common::{Plan, get, hosts, start_threads};
 use mintridge_bench::caller::Caller;
 use mintridge_standin::scene::Scene;
 use mintridge_standin::upstream::{RECEIVED_TRACEPARENT, TRACEPARENT};
@@ -33,7 +33,7 @@
         |_: &mut mintridge_node::settings::Settings| {}
     };
     let plan = Plan { adjust, ..hosts(2) };
-    let scene = threads(plan).await;
+    let scene = start_threads(plan).await;
     let received = upstream_traceparent(&scene, &format!("00-{TRACE}-{SPAN}-01"))
         .await
         .expect("it passes");
--- a/crates/node/tests/uploads.rs
+++ b/crates/node/tests/uploads.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::{BEHIND, ENTRY, Scene, bare_post, get, relayed, within};
+use common::{ENTRY, RELAYED, Scene, get, post_without_key, relayed, with_timeout};
 use mintridge_bench::caller::{Call, Reply};
 use mintridge_standin::relay::{Condition, Relay};
 use mintridge_standin::scene::wait_for;
@@ -28,7 +28,7 @@
 fn upload(id: &str) -> Call {
     Call {
         body: Bytes::from(vec![7; UPLOAD_BYTES]),
-        ..bare_post(id)
+        ..post_without_key(id)
     }
 }
 
@@ -42,7 +42,9 @@
 async fn upload_takes_few_round_trips() {
     let (scene, relay) = relayed_with_open_link().await;
     relay.set(Condition::Slow(50));
-    let reply = scene.call(ENTRY, &within(2_000, upload("upload"))).await;
+    let reply = scene
+        .call(ENTRY, &with_timeout(2_000, upload("upload")))
+        .await;
     let Reply::Answer { body, .. } = &reply else {
         panic!("{reply:?}");
     };
@@ -56,13 +58,13 @@
 #[tokio::test]
 async fn body_is_not_sent_before_there_is_a_slot() {
     let (scene, relay) = relayed_with_open_link().await;
-    scene.update_behaviour(BEHIND, |behaviour| behaviour.service_micros = 1_500_000);
+    scene.update_behaviour(RELAYED, |behaviour| behaviour.service_micros = 1_500_000);
     let entry = scene.addresses(ENTRY).callers;
     let mut running = Vec::new();
-    let slots = scene.hosts[BEHIND].upstream.behaviour().slots;
+    let slots = scene.hosts[RELAYED].upstream.behaviour().slots;
     for n in 0..slots {
         let caller = scene.caller.clone();
-        let call = within(10_000, get(&format!("before-{n}")));
+        let call = with_timeout(10_000, get(&format!("before-{n}")));
         running.push(tokio::spawn(async move { caller.call(entry, &call).await }));
     }
     wait_for("all slots are taken", || {
@@ -71,8 +73,11 @@
     .await;
     let before = relay.forwarded_bytes();
     let caller = scene.caller.clone();
-    let waiting =
-        tokio::spawn(async move { caller.call(entry, &within(20_000, upload("waits"))).await });
+    let waiting = tokio::spawn(async move {
+        caller
+            .call(entry, &with_timeout(20_000, upload("waits")))
+            .await
+    });
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert_eq!(scene.runs("waits"), 0);
     let carried = relay.forwarded_bytes() - before;
--- a/crates/node/tests/upstream.rs
+++ b/crates/node/tests/upstream.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use common::full;
+use common::full_listener;
 use http_body_util::BodyExt;
 use hyper::{Request, StatusCode};
 use mintridge_core::load::Upstream as Load;
@@ -116,7 +116,7 @@
 #[case::restart(true)]
 #[tokio::test]
 async fn send_reports_that_nothing_was_sent_without_a_connection(#[case] restarted: bool) {
-    let (address, _listener, _waiting) = full();
+    let (address, _listener, _waiting) = full_listener();
     let upstream = upstream();
     let deadline = Instant::now() + Duration::from_millis(200);
     let sending = upstream.send(address, Request::new(reply::empty()), deadline);
--- a/crates/node/tests/warm_up.rs
+++ b/crates/node/tests/warm_up.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use common::answering;
+use common::serve_connections;
 use mintridge_bench::caller::{Call, Caller};
 use mintridge_node::adapter::Adapter;
 use mintridge_node::node::{self, Node};
@@ -31,7 +31,7 @@
 impl Upstream {
     fn start(self: &Arc<Self>) -> SocketAddr {
         let upstream = Arc::clone(self);
-        answering(move |stream| upstream.answer(stream))
+        serve_connections(move |stream| upstream.answer(stream))
     }
 
     /// Answers requests without a body until the connection is closed.
