--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,5 +1,5 @@
-//! Keeps members and the preset in force up to date, by exchanges with peers and, on a
-//! few nodes, by the store.
+//! Keeps the members, the preset in force and the routing table up to date through exchanges with
+//! peers and, on the few nodes that read it, through the store.
 
 mod codec;
 mod epochs;
@@ -33,25 +33,25 @@
 use crate::packed;
 use crate::request_log::millis;
 
-/// Routes that cannot be read are told one by one up to this many, so that a table of
-/// thousands of them does not fill the log.
-const FAULTS_TOLD: usize = 8;
+/// Maximum number of unreadable routes logged per routing table, so that a table with thousands of
+/// them does not fill the log.
+const MAX_LOGGED_FAULTS: usize = 8;
 
-/// Everything the tasks of this thread share.
+/// State shared by all tasks of the control thread.
 struct Control {
     context: Arc<Context>,
     store: Client,
     state: RefCell<State>,
-    /// Something changed that goes to a few peers at once.
+    /// Notified when a change is to be pushed to a few peers at once.
     updates_due: Notify,
-    /// What is held back has changed, and is to last.
-    held_changed: Notify,
-    /// What was held back before this node started has been read.
-    recalled: Cell<bool>,
-    /// The store answers again after an outage, in which entries may have lapsed.
-    store_regained: Cell<bool>,
-    /// What this node knows of the store's answers to itself.
-    reach: failover::Reach,
+    /// Notified when the quarantine has changed and is to be persisted.
+    quarantine_changed: Notify,
+    /// Whether the quarantine persisted before this node started has been loaded.
+    quarantine_loaded: Cell<bool>,
+    /// Set when the store answers again after an outage, during which entries may have expired.
+    store_recovered: Cell<bool>,
+    /// Whether the store answers this node.
+    store_health: failover::StoreHealth,
 }
 
 struct State {
@@ -62,14 +62,17 @@
     routes: route::Register,
     quarantine: Quarantine,
     evacuations: evacuation::Register,
-    heard_at: Option<Instant>,
-    differing: u32,
+    /// When a peer last answered an exchange of this node.
+    last_contact_at: Option<Instant>,
+    /// Exchanges with a different table digest, less those with an equal one.
+    digest_mismatches: u32,
     seed_lease: Option<i64>,
-    /// What the log last said of this node's use of the store.
+    /// The role that was last logged.
     role: Role,
 }
 
-/// Works until the node ends, and says goodbye.
+/// Runs all control tasks until the node ends, then announces its departure to peers and removes
+/// its entry from the store.
 pub async fn run(context: Arc<Context>, listener: TcpListener, events: mpsc::Receiver<Event>) {
     let control = Rc::new(Control::new(context));
     let local = LocalSet::new();
@@ -80,23 +83,23 @@
             tokio::task::spawn_local(exchange::join(Rc::clone(&control)));
             tokio::task::spawn_local(exchange::rounds(Rc::clone(&control)));
             tokio::task::spawn_local(exchange::pushes(Rc::clone(&control)));
-            tokio::task::spawn_local(holder::work(Rc::clone(&control)));
-            tokio::task::spawn_local(failover::listen(Rc::clone(&control)));
+            tokio::task::spawn_local(holder::run(Rc::clone(&control)));
+            tokio::task::spawn_local(failover::run(Rc::clone(&control)));
             tokio::task::spawn_local(watch::preset(Rc::clone(&control)));
             tokio::task::spawn_local(watch::routes(Rc::clone(&control)));
             tokio::task::spawn_local(follow_upstream(Rc::clone(&control)));
-            tokio::task::spawn_local(suspects::take(Rc::clone(&control), events));
-            tokio::task::spawn_local(persistence::keep(Rc::clone(&control)));
+            tokio::task::spawn_local(suspects::receive(Rc::clone(&control), events));
+            tokio::task::spawn_local(persistence::run(Rc::clone(&control)));
             tokio::task::spawn_local(epochs::follow(Rc::clone(&control)));
             control.until_ending().await;
             control.state.borrow_mut().table.leave();
             exchange::push(&control).await;
-            holder::leave(&control).await;
+            holder::remove_seed(&control).await;
         })
         .await;
 }
 
-/// Tells peers what the guard says of its upstream.
+/// Sends changes of the upstream that the guard reports to peers.
 async fn follow_upstream(control: Rc<Control>) {
     let mut upstream = control.context.latest.upstream.subscribe();
     loop {
@@ -113,7 +116,7 @@
 }
 
 impl State {
-    /// What is in force here.
+    /// Returns the versions of the documents in force on this node.
     fn versions(&self) -> codec::Versions {
         codec::Versions {
             preset: self.register.current().revision,
@@ -164,16 +167,16 @@
                 routes: route::Register::default(),
                 quarantine: Quarantine::new(settings.quarantine.clone(), seed),
                 evacuations: evacuation::Register::default(),
-                heard_at: None,
-                differing: 0,
+                last_contact_at: None,
+                digest_mismatches: 0,
                 seed_lease: None,
                 role: Role::default(),
             }),
             updates_due: Notify::new(),
-            held_changed: Notify::new(),
-            recalled: Cell::new(false),
-            store_regained: Cell::new(false),
-            reach: failover::Reach::default(),
+            quarantine_changed: Notify::new(),
+            quarantine_loaded: Cell::new(false),
+            store_recovered: Cell::new(false),
+            store_health: failover::StoreHealth::default(),
             context,
         }
     }
@@ -184,7 +187,7 @@
         drop(ended);
     }
 
-    /// Shows members and preset to the other duties.
+    /// Publishes the members, the preset in force and the evacuated zones to the other threads.
     fn publish(&self) {
         let state = self.state.borrow();
         let view = View {
@@ -200,7 +203,7 @@
         self.context.latest.view.send_replace(Arc::new(view));
     }
 
-    /// Takes in a preset document, wherever it came from.
+    /// Puts a preset from a peer or the store in force if it is newer than the current one.
     fn offer(&self, document: InForce) {
         let by = Arc::clone(&document.changed_by);
         let revision = document.revision.0;
@@ -214,23 +217,31 @@
             Offered::Same | Offered::Older => {}
             Offered::Conflict => {
                 self.context.metrics.bad_input("preset-conflict");
-                log::warn!(revision = revision, by = &*by; "two presets have one revision");
+                log::warn!(
+                    revision = revision,
+                    by = &*by;
+                    "two different presets have the same revision"
+                );
             }
             Offered::Invalid => {
                 self.context.metrics.bad_input("preset");
-                log::warn!(revision = revision, by = &*by; "preset has a value out of range");
+                log::warn!(
+                    revision = revision,
+                    by = &*by;
+                    "preset rejected: a value is out of range"
+                );
             }
         }
     }
 
-    /// Takes in a routing table, wherever it came from; a document that does not parse
-    /// leaves the one in force as it is.
+    /// Puts a routing table from a peer or the store in force if it is newer than the current one.
+    /// A document that does not parse leaves the current one in force.
     fn offer_routes(&self, from: &'static str, source: &[u8], packed: Option<Arc<[u8]>>) {
         let table = match (self.context.adapter.routes)(source) {
             Ok(table) => table,
             Err(error) => {
                 self.context.metrics.bad_input("routes");
-                log::warn!(from = from, error:% = error; "routing table not taken");
+                log::warn!(from = from, error:% = error; "failed to parse the routing table");
                 return;
             }
         };
@@ -241,7 +252,7 @@
         let packed = match packed.map_or_else(|| packed::pack(source), Ok) {
             Ok(packed) => packed,
             Err(error) => {
-                log::error!(error:% = error; "routing table cannot be packed");
+                log::error!(error:% = error; "failed to compress the routing table");
                 return;
             }
         };
@@ -258,23 +269,23 @@
         self.updates_due.notify_one();
     }
 
-    /// Tells once a version what of it could not be read.
+    /// Logs the faults of a routing table; called once per version.
     fn log_faults(&self, current: Option<&Document>) {
         let faults = current.map_or(&[][..], |document| document.table.faults.as_slice());
         for _ in faults {
             self.context.metrics.bad_input("route");
         }
-        for fault in faults.iter().take(FAULTS_TOLD) {
+        for fault in faults.iter().take(MAX_LOGGED_FAULTS) {
             log::warn!(
                 route = &*fault.route,
                 cause = &*fault.cause,
                 faults = faults.len();
-                "part of a route cannot be read"
+                "failed to parse part of a route"
             );
         }
     }
 
-    /// Takes in records; true if any of them changed the table.
+    /// Merges membership records; returns whether any of them changed the table.
     fn merge(&self, now: Instant, records: Vec<Record>) -> bool {
         let mut state = self.state.borrow_mut();
         let mut changed = false;
@@ -288,39 +299,39 @@
         changed
     }
 
-    /// A peer or the store answered something asked at `asked_at`.
-    fn heard(&self, asked_at: Instant) {
-        self.context.latest.refreshed.send_replace(asked_at);
+    /// Records that a peer or the store answered a request sent at `requested_at`.
+    fn mark_refreshed(&self, requested_at: Instant) {
+        self.context.latest.refreshed.send_replace(requested_at);
     }
 
-    /// What this node knows, as far as its use of the store depends on it.
+    /// Returns the state on which this node's use of the store depends.
     fn snapshot(&self) -> Snapshot {
         let state = self.state.borrow();
         let needs_routes = self.context.settings.routes.key.is_some();
         Snapshot {
-            last_contact_at: state.heard_at,
+            last_contact_at: state.last_contact_at,
             has_peers: state.table.has_peers(),
             has_routes: !needs_routes || state.routes.current().is_some(),
             is_designated_reader: state.table.is_designated_reader(),
         }
     }
 
-    /// Why this node follows the store, or that it does not.
+    /// Returns this node's role in reading the store.
     fn role(&self, now: Instant, snapshot: Snapshot) -> Role {
         let role = self.state.borrow().bootstrap.role(now, snapshot);
-        if role == Role::Member && self.reach.acts_as_reader() {
+        if role == Role::Member && self.store_health.acts_as_reader() {
             Role::ActingReader
         } else {
             role
         }
     }
 
-    /// Whether this node follows the store itself.
+    /// Returns whether this node follows documents in the store itself.
     fn follows_store(&self, now: Instant) -> bool {
         self.role(now, self.snapshot()) != Role::Member
     }
 
-    /// Logs why this node follows the store, or no longer does, if that has changed.
+    /// Logs this node's role in reading the store if it has changed.
     fn log_role(&self, now: Instant, snapshot: Snapshot) {
         let role = self.role(now, snapshot);
         let before = std::mem::replace(&mut self.state.borrow_mut().role, role);
@@ -333,19 +344,19 @@
             role = role.as_str(),
             before = before.as_str(),
             peer_heard_ms:? = age(snapshot.last_contact_at),
-            store_answered_ms:? = age(self.reach.answered_at());
+            store_answered_ms:? = age(self.store_health.answered_at());
             "role in reading the store changed"
         );
     }
 }
 
-/// Which hosts the settings name to join through.
+/// Returns which kind of hosts the settings name for joining the fleet.
 fn contacts(context: &Context) -> Contacts {
     let own = context.addresses.control;
-    let named = exchange::named(&context.settings);
-    if named.is_empty() {
+    let addresses = exchange::contact_addresses(&context.settings);
+    if addresses.is_empty() {
         Contacts::None
-    } else if named.contains(&own) {
+    } else if addresses.contains(&own) {
         Contacts::IncludesOwn
     } else {
         Contacts::Others
--- a/crates/node/src/control/codec.rs
+++ b/crates/node/src/control/codec.rs
@@ -1,4 +1,4 @@
-//! Records and presets in Cap'n Proto messages.
+//! Encoding of exchanges between nodes as Cap'n Proto messages.
 
 use std::net::{AddrParseError, SocketAddr};
 use std::sync::Arc;
@@ -13,31 +13,31 @@
 
 use crate::{packed, peer_capnp};
 
-/// Bytes of a word of a message.
-pub const WORD: u64 = 8;
-/// Fewer records than this are shorter as they are.
-const PACKED_LEAST: usize = 3;
+/// Size of a message word in bytes.
+pub const WORD_BYTES: u64 = 8;
+/// Minimum number of records to pack; fewer are shorter unpacked.
+const MIN_PACKED_RECORDS: usize = 3;
 
-/// Why a message of a peer was not taken.
+/// Error that makes a message of a peer unusable.
 #[derive(Debug, thiserror::Error)]
 pub enum Malformed {
-    /// It is not a message of this schema.
-    #[error("not a message of this schema: {0}")]
+    /// The message does not match the schema.
+    #[error("message does not match the schema: {0}")]
     Message(#[from] capnp::Error),
-    /// It uses a value this version does not know.
-    #[error("unknown value: {0}")]
+    /// The message uses an enum or union value that this version does not know.
+    #[error("unknown enum or union value: {0}")]
     Unknown(#[from] capnp::NotInSchema),
-    /// A text is not UTF-8.
-    #[error("not text: {0}")]
+    /// A text field is not valid UTF-8.
+    #[error("text is not valid UTF-8: {0}")]
     Text(#[from] std::str::Utf8Error),
-    /// An address does not parse.
-    #[error("not an address: {0}")]
+    /// An address could not be parsed.
+    #[error("invalid address: {0}")]
     Address(#[from] AddrParseError),
-    /// Packed records do not unpack.
+    /// Packed records could not be unpacked.
     #[error(transparent)]
     Packed(#[from] packed::Error),
-    /// A preset does not parse.
-    #[error("not a preset: {0}")]
+    /// The preset could not be parsed.
+    #[error("invalid preset: {0}")]
     Preset(#[from] serde_json::Error),
 }
 
@@ -47,31 +47,32 @@
     }
 }
 
-/// One side of an exchange.
+/// Message that one node sends to the other in an exchange.
 #[derive(Clone, Debug)]
 pub struct Exchange {
-    /// Records that the sender spreads.
+    /// Membership updates that the sender gossips.
     pub updates: Vec<Record>,
-    /// Digest of its table.
+    /// Digest of the sender's membership table.
     pub digest: u64,
-    /// What it has in force.
+    /// Versions of the documents in force on the sender.
     pub versions: Versions,
-    /// Its preset, if the other's is known to be older.
+    /// The sender's preset, if the receiver's is known to be older.
     pub in_force: Option<InForce>,
-    /// Its routing table as operators wrote it, compressed, if the other's is known to be older.
+    /// The sender's routing table as written by operators, compressed, if the receiver's is known
+    /// to be older.
     pub routes: Option<Arc<[u8]>>,
-    /// What it tells of requests that end upstreams.
+    /// Evidence on requests suspected of crashing upstreams.
     pub suspects: Vec<Suspect>,
-    /// Digest of the requests that it holds back.
-    pub held: u64,
-    /// Zones that were ever evacuated.
+    /// Digest of the sender's quarantine.
+    pub quarantine_digest: u64,
+    /// Availability zones that have ever been evacuated.
     pub evacuations: Vec<Zone>,
-    /// Whether the sender reads packed records.
+    /// Whether the sender can read packed records.
     pub packs: bool,
 }
 
 impl Exchange {
-    /// What the other side needs to know of this one to answer it.
+    /// Returns what the receiver needs to know about the sender to answer it.
     #[must_use]
     pub fn peer_state(&self) -> PeerState {
         let fingerprints = self.suspects.iter().map(|suspect| suspect.fingerprint);
@@ -80,45 +81,45 @@
             records: self.updates.iter().map(Record::summary).collect(),
             packs: self.packs,
             quarantine: quarantine::Peer {
-                digest: self.held,
+                digest: self.quarantine_digest,
                 fingerprints: fingerprints.collect(),
             },
         }
     }
 }
 
-/// What a node told of itself in an exchange.
+/// State that a peer reported about itself in an exchange.
 #[derive(Clone, Debug)]
 pub struct PeerState {
-    /// What it has in force.
+    /// Versions of the documents in force on the peer.
     pub versions: Versions,
-    /// The records that it sent.
+    /// Summaries of the records that the peer sent.
     pub records: Vec<Summary>,
-    /// Whether it reads packed records.
+    /// Whether the peer can read packed records.
     pub packs: bool,
-    /// What it holds back.
+    /// Quarantine state of the peer.
     pub quarantine: quarantine::Peer,
 }
 
-/// What a node has in force.
+/// Versions of the documents in force on a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Versions {
-    /// Revision of its preset.
+    /// Revision of the preset.
     pub preset: Revision,
-    /// Version of its routing table.
+    /// Version of the routing table.
     pub routes: Version,
 }
 
 impl Versions {
-    /// Whether something of this is older than the other's.
+    /// Returns whether any document is older than the other's.
     #[must_use]
     pub fn is_behind(&self, other: &Self) -> bool {
         self.preset < other.preset || self.routes < other.routes
     }
 }
 
-/// Writes one side of an exchange, with its records packed if the peer reads them so; returns their
-/// length in bytes.
+/// Writes the message of one side of an exchange, with its records packed if `packs` is true and
+/// that makes them shorter; returns the size of the records in bytes.
 pub fn write_exchange(
     now: Instant,
     exchange: &Exchange,
@@ -133,43 +134,43 @@
         to.set_routes(document);
     }
     if let Some(document) = &exchange.in_force
-        && let Ok(written) = serde_json::to_vec(document)
+        && let Ok(json) = serde_json::to_vec(document)
     {
-        to.set_in_force(&written);
+        to.set_in_force(&json);
     }
-    to.set_held(exchange.held);
-    let length = length_of(&exchange.evacuations);
+    to.set_held(exchange.quarantine_digest);
+    let length = list_len(&exchange.evacuations);
     write_evacuations(
         &exchange.evacuations,
         to.reborrow().init_evacuations(length),
     );
-    let length = length_of(&exchange.suspects);
+    let length = list_len(&exchange.suspects);
     write_suspects(now, &exchange.suspects, to.reborrow().init_suspects(length));
     let packed = packs.then(|| pack_records(&exchange.updates)).flatten();
     if let Some(packed) = packed {
         to.set_packed_updates(&packed);
-        return bytes_of(&packed);
+        return byte_len(&packed);
     }
     write_records(
         &exchange.updates,
-        to.init_updates(length_of(&exchange.updates)),
+        to.init_updates(list_len(&exchange.updates)),
     )
 }
 
-/// Records packed, if that makes them shorter.
+/// Packs records; returns `None` if there are too few to make them shorter.
 pub fn pack_records(records: &[Record]) -> Option<Arc<[u8]>> {
-    if records.len() < PACKED_LEAST {
+    if records.len() < MIN_PACKED_RECORDS {
         return None;
     }
     let mut message = capnp::message::Builder::new_default();
     let list = message
         .init_root::<peer_capnp::records::Builder<'_>>()
-        .init_list(length_of(records));
+        .init_list(list_len(records));
     write_records(records, list);
     packed::pack(&capnp::serialize::write_message_to_words(&message)).ok()
 }
 
-/// Unpacks what [`pack_records`] has packed.
+/// Unpacks records that were packed by [`pack_records`].
 pub fn unpack_records(packed: &[u8]) -> Result<Vec<Record>, Malformed> {
     let message = packed::unpack(packed)?;
     let mut message = message.as_slice();
@@ -179,17 +180,17 @@
     read_records(records.get_list()?)
 }
 
-/// Length of a message.
-pub fn bytes_of(message: &[u8]) -> u64 {
+/// Returns the size of a message in bytes, for metrics.
+pub fn byte_len(message: &[u8]) -> u64 {
     u64::try_from(message.len()).unwrap_or(u64::MAX)
 }
 
-/// Length of a list of a message.
-pub fn length_of<T>(list: &[T]) -> u32 {
+/// Returns the length of a list, for allocating it in a message.
+pub fn list_len<T>(list: &[T]) -> u32 {
     u32::try_from(list.len()).unwrap_or(u32::MAX)
 }
 
-/// Reads one side of an exchange.
+/// Reads the message of one side of an exchange.
 pub fn read_exchange(
     now: Instant,
     from: peer_capnp::exchange::Reader<'_>,
@@ -217,13 +218,13 @@
         in_force,
         routes: (!routes.is_empty()).then(|| Arc::from(routes)),
         suspects: read_suspects(now, from.get_suspects()?)?,
-        held: from.get_held(),
+        quarantine_digest: from.get_held(),
         evacuations: read_evacuations(from.get_evacuations()?)?,
         packs: from.get_packs(),
     })
 }
 
-/// Writes records; returns their length in bytes.
+/// Writes records; returns their size in bytes.
 pub fn write_records(
     records: &[Record],
     mut to: capnp::struct_list::Builder<'_, peer_capnp::record::Owned>,
@@ -231,10 +232,10 @@
     let mut words = 0;
     for (index, record) in (0..to.len()).zip(records) {
         write_record(record, to.reborrow().get(index));
-        let written = to.reborrow().get(index).into_reader();
-        words += written.total_size().map_or(0, |size| size.word_count);
+        let entry = to.reborrow().get(index).into_reader();
+        words += entry.total_size().map_or(0, |size| size.word_count);
     }
-    words * WORD
+    words * WORD_BYTES
 }
 
 /// Reads records.
@@ -304,28 +305,29 @@
     })
 }
 
-/// Time left is told in whole seconds, rounded down: a copy never outlives what it was copied from.
+/// Writes the evidence on suspect requests. The remaining time is sent in whole seconds, rounded
+/// down, so that a copy never outlives its original.
 fn write_suspects(
     now: Instant,
     suspects: &[Suspect],
     mut to: capnp::struct_list::Builder<'_, peer_capnp::suspect::Owned>,
 ) {
     for (index, suspect) in (0..to.len()).zip(suspects) {
-        let mut written = to.reborrow().get(index);
-        written.set_head(suspect.fingerprint.head);
+        let mut entry = to.reborrow().get(index);
+        entry.set_head(suspect.fingerprint.head);
         match suspect.fingerprint.body {
-            None => written.reborrow().init_body().set_unseen(()),
-            Some(body) => written.reborrow().init_body().set_digest(body),
+            None => entry.reborrow().init_body().set_unseen(()),
+            Some(body) => entry.reborrow().init_body().set_digest(body),
         }
-        written.set_trials(suspect.trials);
+        entry.set_trials(suspect.trials);
         let left = suspect.expires_at.saturating_duration_since(now);
-        written.set_left_seconds(u32::try_from(left.as_secs()).unwrap_or(u32::MAX));
-        let mut ends = written.init_ends(length_of(&suspect.crashes));
+        entry.set_left_seconds(u32::try_from(left.as_secs()).unwrap_or(u32::MAX));
+        let mut ends = entry.init_ends(list_len(&suspect.crashes));
         for (index, crash) in (0..ends.len()).zip(&suspect.crashes) {
-            let mut written = ends.reborrow().get(index);
-            written.set_id(crash.id);
-            written.set_service(crash.service);
-            written.set_cleared(crash.cleared);
+            let mut entry = ends.reborrow().get(index);
+            entry.set_id(crash.id);
+            entry.set_service(crash.service);
+            entry.set_cleared(crash.cleared);
         }
     }
 }
@@ -367,11 +369,11 @@
     mut to: capnp::struct_list::Builder<'_, peer_capnp::evacuation::Owned>,
 ) {
     for (index, zone) in (0..to.len()).zip(zones) {
-        let mut written = to.reborrow().get(index);
-        written.set_zone(&*zone.name);
-        written.set_evacuated(zone.evacuated);
-        written.set_epoch(zone.stamp.epoch);
-        written.set_revision(zone.stamp.revision);
+        let mut entry = to.reborrow().get(index);
+        entry.set_zone(&*zone.name);
+        entry.set_evacuated(zone.evacuated);
+        entry.set_epoch(zone.stamp.epoch);
+        entry.set_revision(zone.stamp.revision);
     }
 }
 
--- a/crates/node/src/control/epochs.rs
+++ b/crates/node/src/control/epochs.rs
@@ -1,4 +1,4 @@
-//! What this node writes again when the store has come back from an older copy.
+//! Rewriting of this node's data after the store has been restored from an older copy.
 
 use std::rc::Rc;
 
@@ -6,36 +6,37 @@
 
 use super::Control;
 
-/// Follows the epochs of the store.
+/// Follows the epochs of the store and schedules rewrites when the epoch rises.
 ///
-/// Failure: the store loses its newest seconds. Symptom: this node's entry and what is held back
-/// are gone, or hang on a lease that was given out anew, while the node takes them for written.
-/// Whatever it wrote before is written again, by the few nodes that use the store.
+/// Failure: the store is restored from an older copy and loses its most recent writes. Symptom:
+/// this node's entry and the quarantine are missing, or are attached to a lease id that has been
+/// granted again, while the node assumes that they are stored. The few nodes that use the store
+/// write everything again that they wrote before.
 pub async fn follow(control: Rc<Control>) {
     let mut newest = control.store.epochs().subscribe();
-    let mut before = *newest.borrow_and_update();
+    let mut previous = *newest.borrow_and_update();
     while newest.changed().await.is_ok() {
-        let now = *newest.borrow_and_update();
-        if let Some(rise) = Rise::between(before, now) {
-            returned(&control, rise);
+        let current = *newest.borrow_and_update();
+        if let Some(rise) = Rise::between(previous, current) {
+            handle_restore(&control, rise);
         }
-        before = now;
+        previous = current;
     }
 }
 
-fn returned(control: &Control, rise: Rise) {
-    let holds_back = !control.state.borrow().quarantine.quarantined().is_empty();
+fn handle_restore(control: &Control, rise: Rise) {
+    let has_quarantined = !control.state.borrow().quarantine.quarantined().is_empty();
     let had_entry = control.state.borrow_mut().seed_lease.take().is_some();
     log::warn!(
         epoch_before = rise.before.0,
         epoch = rise.now.0,
         had_entry = had_entry,
-        holds_back = holds_back;
-        "the store came back from an older copy: what was written there is written again"
+        holds_back = has_quarantined;
+        "store restored from an older copy; rewriting this node's entry and the quarantine"
     );
     control.context.metrics.store_return();
-    control.store_regained.set(true);
-    if holds_back {
-        control.held_changed.notify_one();
+    control.store_recovered.set(true);
+    if has_quarantined {
+        control.quarantine_changed.notify_one();
     }
 }
--- a/crates/node/src/control/evacuations.rs
+++ b/crates/node/src/control/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuated availability zones: what the store and peers say of them.
+//! Evacuations of availability zones, as reported by the store and by peers.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,42 +9,43 @@
 
 use super::Control;
 
-/// Takes what a peer, or a change in the store, says.
+/// Merges zones reported by a peer or by a change in the store.
 pub fn merge(control: &Control, from: &'static str, zones: Vec<Zone>) {
     if !zones.is_empty() {
-        change(control, from, |register| register.merge(zones));
+        update(control, from, |register| register.merge(zones));
     }
 }
 
-/// Takes the evacuations among these items, which are all that lie in the store.
-pub fn listed(control: &Control, now: Instant, items: &[Item], revision: i64) {
-    let zones = items.iter().filter_map(|item| written(control, item));
+/// Applies a listing of the store; `items` contains all evacuations that are stored there.
+pub fn apply_listing(control: &Control, now: Instant, items: &[Item], revision: i64) {
+    let zones = items.iter().filter_map(|item| parse_item(control, item));
     let zones: Vec<Zone> = zones.collect();
     let at = stamp(control, revision);
-    change(control, "store", |register| {
+    update(control, "store", |register| {
         register.apply_listing(now, at, zones)
     });
 }
 
-/// Takes a change in the store, if it is one of an evacuation.
-pub fn changed(control: &Control, change: &Change) {
+/// Applies a change in the store if it concerns an evacuation.
+pub fn apply_change(control: &Control, change: &Change) {
     let zone = match change {
-        Change::Written(item) => written(control, item),
-        Change::Deleted { key, revision } => zone(control, key, false, *revision),
+        Change::Written(item) => parse_item(control, item),
+        Change::Deleted { key, revision } => parse_zone(control, key, false, *revision),
     };
     merge(control, "store", zone.into_iter().collect());
 }
 
-/// Withdraws what was not written again in time.
+/// Withdraws evacuations that were missing after a restore of the store and have not been written
+/// again in time.
 pub fn tick(control: &Control, now: Instant) {
-    change(control, "time", |register| register.tick(now));
+    update(control, "time", |register| register.tick(now));
 }
 
-fn written(control: &Control, item: &Item) -> Option<Zone> {
-    zone(control, &item.key, true, item.revision)
+fn parse_item(control: &Control, item: &Item) -> Option<Zone> {
+    parse_zone(control, &item.key, true, item.revision)
 }
 
-fn zone(control: &Control, key: &str, evacuated: bool, revision: i64) -> Option<Zone> {
+fn parse_zone(control: &Control, key: &str, evacuated: bool, revision: i64) -> Option<Zone> {
     let prefix = control.context.settings.routes.evacuations.as_deref()?;
     let name = key.strip_prefix(prefix).filter(|name| !name.is_empty())?;
     Some(Zone {
@@ -62,9 +63,10 @@
     }
 }
 
-/// Shows a change to the other duties and to a few peers at once.
-fn change(control: &Control, from: &'static str, act: impl FnOnce(&mut Register) -> bool) {
-    let changed = act(&mut control.state.borrow_mut().evacuations);
+/// Applies an operation; if it changes the evacuated zones, publishes them to the other threads and
+/// pushes them to a few peers at once.
+fn update(control: &Control, from: &'static str, operation: impl FnOnce(&mut Register) -> bool) {
+    let changed = operation(&mut control.state.borrow_mut().evacuations);
     if !changed {
         return;
     }
--- a/crates/node/src/control/exchange.rs
+++ b/crates/node/src/control/exchange.rs
@@ -1,4 +1,4 @@
-//! The side of exchanges that begins: rounds, pushes of updates, and joining.
+//! Exchanges that this node starts: gossip rounds, pushes of updates, and joining the fleet.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,41 +16,44 @@
 use crate::peer_capnp::peer as peer_rpc;
 use crate::settings::Settings;
 
-/// Longest life of a connection for exchanges.
-pub const CONNECTION_MOST: Duration = Duration::from_secs(10);
-/// First pause between two attempts to join through the hosts named in the settings.
-const JOIN_AGAIN_LEAST: Duration = Duration::from_millis(50);
-/// Longest such pause.
-const JOIN_AGAIN_MOST: Duration = Duration::from_millis(500);
-/// Time between two exchanges started by a node that has just started: after six of them
-/// each of 300 nodes that start together knows nine in ten, and each costs either side 0.3 ms of processor time.
-const PERIOD_AT_START: Duration = Duration::from_millis(100);
-/// Exchanges with differing tables before a node that has just started asks for a whole one.
-const PULL_AFTER_AT_START: u32 = 3;
-/// Pause after a failed accept.
-pub const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+/// Maximum duration of a connection for exchanges.
+pub const MAX_CONNECTION_DURATION: Duration = Duration::from_secs(10);
+/// Initial delay between two attempts to join through the hosts named in the settings.
+const MIN_JOIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Maximum delay between two such attempts.
+const MAX_JOIN_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Time between two gossip rounds of a node that has just started. When 300 nodes start together,
+/// each knows nine in ten of the others after six rounds, and an exchange costs each side 0.3 ms of
+/// CPU time.
+const STARTUP_PERIOD: Duration = Duration::from_millis(100);
+/// Number of exchanges with differing tables after which a node that has just started requests a
+/// peer's whole table.
+const STARTUP_PULL_AFTER: u32 = 3;
+/// Delay after a failed accept.
+pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Why an exchange failed.
+/// Error of an exchange.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No answer in time.
-    #[error("no answer in time")]
-    Silent,
-    /// No connection.
+    /// The peer did not answer before the timeout.
+    #[error("no answer before the timeout")]
+    Timeout,
+    /// The connection could not be opened.
     #[error("cannot connect: {0}")]
     Connect(#[from] std::io::Error),
-    /// The call failed.
-    #[error("call failed: {0}")]
+    /// The RPC failed.
+    #[error("RPC failed: {0}")]
     Call(#[from] capnp::Error),
-    /// The answer is malformed.
+    /// The answer could not be decoded.
     #[error(transparent)]
     Malformed(#[from] codec::Malformed),
 }
 
-/// One exchange each period, with each peer in turn; more often at the start.
+/// Runs gossip rounds: one exchange per period, with each peer in turn, and more often at startup.
 ///
-/// Failure: all power was lost, and every node starts with the few hosts that the named ones knew
-/// at that moment. Symptom: for seconds those few get the requests of all, and refuse most.
+/// Failure: all nodes start after a power loss, and each learns only the few hosts that the named
+/// ones knew at that moment. Symptom: for seconds those few receive all requests and refuse most.
+/// The shorter period at startup makes the rest of the fleet known sooner.
 pub async fn rounds(control: Rc<Control>) {
     let period = control.context.settings.membership.period;
     loop {
@@ -59,7 +62,7 @@
         let pause = if settled {
             period
         } else {
-            period.min(PERIOD_AT_START)
+            period.min(STARTUP_PERIOD)
         };
         if control.state.borrow_mut().table.tick(now) {
             control.publish();
@@ -77,19 +80,20 @@
     }
 }
 
-/// One round: the peer itself, then others about it, then suspicion.
+/// Runs one round with a peer. If it does not answer, relays are asked to contact it; if none of
+/// them reaches it either, it is marked as suspect.
 async fn round(control: Rc<Control>, record: Record) {
-    if with(&control, record.control_address).await.is_ok() {
+    if perform(&control, record.control_address).await.is_ok() {
         control.state.borrow_mut().table.mark_alive(&record.host);
         return;
     }
     let relays = control.state.borrow_mut().table.relays(&record.host);
     let mut confirmed = false;
     for relay in relays {
-        match ask(&control, &relay, &record).await {
+        match ask_relay(&control, &relay, &record).await {
             Ok(true) => return,
             Ok(false) => confirmed = true,
-            Err(error) => log::debug!(relay = &*relay.host, error:% = error; "relay not asked"),
+            Err(error) => log::debug!(relay = &*relay.host, error:% = error; "relay call failed"),
         }
     }
     log::info!(host = &*record.host, confirmed = confirmed; "host does not answer");
@@ -100,7 +104,7 @@
     control.publish();
 }
 
-/// Tells a few peers at once when something changed here.
+/// Pushes to a few peers at once whenever something changes on this node.
 pub async fn pushes(control: Rc<Control>) {
     loop {
         control.updates_due.notified().await;
@@ -108,44 +112,44 @@
     }
 }
 
-/// Exchanges with a few peers at once.
+/// Performs exchanges with a few peers at once and waits for all of them.
 pub async fn push(control: &Rc<Control>) {
-    let most = control.context.settings.control.push_to;
-    let peers = control.state.borrow_mut().table.sample(most, "");
+    let max_peers = control.context.settings.control.push_to;
+    let peers = control.state.borrow_mut().table.sample(max_peers, "");
     let exchanges = peers
         .iter()
-        .map(|record| with(control, record.control_address));
+        .map(|record| perform(control, record.control_address));
     futures_util::future::join_all(exchanges).await;
 }
 
-/// Finds the fleet through the hosts named in the settings: asks all of them at once, again and
-/// again, until a peer is known.
+/// Joins the fleet through the hosts named in the settings: contacts all of them at once and
+/// retries with a backoff while no peer is known.
 ///
-/// Failure: all hosts start together, and a named one listens a moment later than this one asks.
-/// Symptom: asked once, or one after the other with a timeout each, nobody is found in time and
-/// the whole fleet turns to the store.
+/// Failure: all hosts start together, and a named host starts listening just after it was
+/// contacted. Symptom: with a single attempt, or with attempts one after the other that each time
+/// out, no peer is found in time and the whole fleet falls back to the store.
 pub async fn join(control: Rc<Control>) {
     let own = control.context.addresses.control;
-    let mut named = named(&control.context.settings);
-    named.retain(|address| *address != own);
-    let mut pause = JOIN_AGAIN_LEAST;
-    while !named.is_empty() {
+    let mut contacts = contact_addresses(&control.context.settings);
+    contacts.retain(|address| *address != own);
+    let mut pause = MIN_JOIN_RETRY_DELAY;
+    while !contacts.is_empty() {
         if !control.state.borrow().table.has_peers() {
-            let joining = named
+            let joining = contacts
                 .iter()
-                .map(|address| Box::pin(join_at(&control, *address)));
+                .map(|address| Box::pin(join_through(&control, *address)));
             let joined = futures_util::future::select_ok(joining).await;
             if let Err(error) = joined {
-                log::debug!(error:% = error; "no named host answers");
+                log::debug!(error:% = error; "none of the hosts named in the settings answers");
             }
         }
         tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(JOIN_AGAIN_MOST);
+        pause = (pause * 2).min(MAX_JOIN_RETRY_DELAY);
     }
 }
 
-/// Control addresses of the hosts named in the settings.
-pub fn named(settings: &Settings) -> Vec<SocketAddr> {
+/// Returns the control addresses of the hosts named in the settings.
+pub fn contact_addresses(settings: &Settings) -> Vec<SocketAddr> {
     let port_of = |named: &SocketAddr| settings.peers_port.unwrap_or(named.port());
     let named = settings.peers.iter();
     named
@@ -153,17 +157,17 @@
         .collect()
 }
 
-/// Joins through one peer: an exchange, then its whole table.
-pub async fn join_at(control: &Rc<Control>, address: SocketAddr) -> Result<(), Error> {
-    with(control, address).await?;
-    pull(control, address).await
+/// Joins through one peer: runs an exchange, then requests its whole table.
+pub async fn join_through(control: &Rc<Control>, address: SocketAddr) -> Result<(), Error> {
+    perform(control, address).await?;
+    pull_table(control, address).await
 }
 
-/// One exchange with the peer at this address.
-pub async fn with(control: &Rc<Control>, address: SocketAddr) -> Result<(), Error> {
-    let asked_at = Instant::now();
-    let within = control.context.settings.membership.answer_within;
-    let theirs = match tokio::time::timeout(within, call(control, address)).await {
+/// Performs an exchange with the peer at this address.
+pub async fn perform(control: &Rc<Control>, address: SocketAddr) -> Result<(), Error> {
+    let requested_at = Instant::now();
+    let timeout = control.context.settings.membership.answer_within;
+    let theirs = match tokio::time::timeout(timeout, send_first_request(control, address)).await {
         Ok(Ok(theirs)) => theirs,
         Ok(Err(error)) => {
             control.context.metrics.exchange("failed", 0);
@@ -171,23 +175,28 @@
         }
         Err(_) => {
             control.context.metrics.exchange("silent", 0);
-            return Err(Error::Silent);
+            return Err(Error::Timeout);
         }
     };
-    control.state.borrow_mut().heard_at = Some(Instant::now());
+    control.state.borrow_mut().last_contact_at = Some(Instant::now());
     let (digest, peer) = (theirs.digest, theirs.peer_state());
     apply_exchange(control, Instant::now(), theirs);
-    control.heard(asked_at);
+    control.mark_refreshed(requested_at);
     send_newer_documents(control, address, peer).await;
-    compare(control, address, digest).await;
+    compare_digests(control, address, digest).await;
     Ok(())
 }
 
-async fn call(control: &Rc<Control>, address: SocketAddr) -> Result<codec::Exchange, Error> {
-    exchange(control, address, None).await
+/// Sends the first request of an exchange, without documents because the peer's versions are not
+/// known yet.
+async fn send_first_request(
+    control: &Rc<Control>,
+    address: SocketAddr,
+) -> Result<codec::Exchange, Error> {
+    send_request(control, address, None).await
 }
 
-async fn exchange(
+async fn send_request(
     control: &Rc<Control>,
     address: SocketAddr,
     peer: Option<&PeerState>,
@@ -202,75 +211,77 @@
     };
     let records = codec::write_exchange(now, &ours, packs, request.get().init_ours());
     let sent = request.get().total_size()?.word_count;
-    control.exchange_sent(sent, records);
+    control.record_sent(sent, records);
     let response = request.send().promise.await?;
     let theirs = response.get()?.get_theirs()?;
     let words = sent + theirs.total_size()?.word_count;
     control
         .context
         .metrics
-        .exchange("answered", words * codec::WORD);
+        .exchange("answered", words * codec::WORD_BYTES);
     Ok(codec::read_exchange(Instant::now(), theirs)?)
 }
 
 impl Control {
-    /// Counts a side of an exchange of so many words that was sent, with its records of so many
-    /// bytes.
-    pub(super) fn exchange_sent(&self, words: u64, records: u64) {
+    /// Counts a sent exchange message: its size in words, and the size of its records in bytes.
+    pub(super) fn record_sent(&self, words: u64, records: u64) {
         let metrics = &self.context.metrics;
         metrics.control_sent("records", records);
-        let rest = (words * codec::WORD).saturating_sub(records);
+        let rest = (words * codec::WORD_BYTES).saturating_sub(records);
         metrics.control_sent("exchange", rest);
     }
 }
 
-/// The peer is behind, or holds back other requests: it hears of what holds here without waiting
-/// for the next round.
+/// If the peer has an older document or a different quarantine, sends it this node's without
+/// waiting for the next round.
 ///
-/// A document has more time than an exchange: its length says nothing about the peer's health.
+/// The timeout is longer than that of an exchange because a large document takes longer to send
+/// and says nothing about the peer's health.
 async fn send_newer_documents(control: &Rc<Control>, address: SocketAddr, peer: PeerState) {
-    let (ours, held) = {
+    let (ours, quarantine_digest) = {
         let state = control.state.borrow();
         (state.versions(), state.quarantine.digest())
     };
-    if !peer.versions.is_behind(&ours) && peer.quarantine.digest == held {
+    if !peer.versions.is_behind(&ours) && peer.quarantine.digest == quarantine_digest {
         return;
     }
-    let within = control.context.settings.control.document_within;
-    let given = tokio::time::timeout(within, exchange(control, address, Some(&peer))).await;
-    match given {
+    let timeout = control.context.settings.control.document_within;
+    let result = tokio::time::timeout(timeout, send_request(control, address, Some(&peer))).await;
+    match result {
         Ok(Ok(theirs)) => apply_exchange(control, Instant::now(), theirs),
         Ok(Err(error)) => {
-            log::debug!(peer:% = address, error:% = error; "newer documents not given");
+            log::debug!(peer:% = address, error:% = error; "failed to send newer documents");
         }
-        Err(_) => log::debug!(peer:% = address; "newer documents not given in time"),
+        Err(_) => log::debug!(peer:% = address; "sending newer documents timed out"),
     }
 }
 
-/// Asks for the whole table when updates alone did not make the tables equal.
+/// Compares the table digests of an exchange and requests the peer's whole table if they keep
+/// differing.
 ///
-/// Failure: a record was missed by all the rounds that spread it. Symptom: two nodes
-/// disagree for good. A lasting difference of the digests shows it; a short one is an update
-/// on its way and costs nothing more. A node that has just started may know a few of hundreds,
-/// and asks sooner.
-async fn compare(control: &Rc<Control>, address: SocketAddr, theirs: u64) {
+/// Failure: a node misses every round that spread a record. Symptom: the tables of two nodes
+/// differ permanently. Digests that differ in several exchanges reveal this; a brief difference is
+/// an update that is still being spread and causes no request. A node that has just started may
+/// know only a few of hundreds of members, so it requests the table after fewer exchanges.
+async fn compare_digests(control: &Rc<Control>, address: SocketAddr, theirs: u64) {
     let pull_due = {
         let mut state = control.state.borrow_mut();
         if state.table.digest() == theirs {
-            state.differing = state.differing.saturating_sub(1);
+            state.digest_mismatches = state.digest_mismatches.saturating_sub(1);
         } else {
-            state.differing += 1;
+            state.digest_mismatches += 1;
         }
         let settled = state.bootstrap.is_settled(Instant::now());
         let pull_after = if settled {
             control.context.settings.control.pull_after
         } else {
-            PULL_AFTER_AT_START
+            STARTUP_PULL_AFTER
         };
-        let pull_due = state.differing >= pull_after;
+        let pull_due = state.digest_mismatches >= pull_after;
         if pull_due {
-            state.differing = 0;
-            // A peer that lacks this node seldom meets a differing table, and does not ask.
+            state.digest_mismatches = 0;
+            // A peer that lacks this node's record rarely sees a differing digest, so it would not
+            // request the table itself.
             state.table.spread_own();
         }
         pull_due
@@ -278,14 +289,15 @@
     if !pull_due {
         return;
     }
-    if let Err(error) = pull(control, address).await {
-        log::debug!(peer:% = address, error:% = error; "table not pulled");
+    if let Err(error) = pull_table(control, address).await {
+        log::debug!(peer:% = address, error:% = error; "failed to pull the membership table");
     }
 }
 
-async fn pull(control: &Rc<Control>, address: SocketAddr) -> Result<(), Error> {
-    let within = control.context.settings.membership.answer_within;
-    let pulled = async {
+/// Requests the whole membership table of a peer and merges it.
+async fn pull_table(control: &Rc<Control>, address: SocketAddr) -> Result<(), Error> {
+    let timeout = control.context.settings.membership.answer_within;
+    let call = async {
         let client = connect(control, address).await?;
         let mut request = client.table_request();
         request.get().set_packs(true);
@@ -296,44 +308,47 @@
         }
         Ok::<_, Error>(codec::unpack_records(packed)?)
     };
-    let records = tokio::time::timeout(within, pulled)
+    let records = tokio::time::timeout(timeout, call)
         .await
-        .map_err(|_| Error::Silent)??;
+        .map_err(|_| Error::Timeout)??;
     control.merge(Instant::now(), records);
     Ok(())
 }
 
-async fn ask(control: &Rc<Control>, relay: &Record, about: &Record) -> Result<bool, Error> {
-    let within = control.context.settings.membership.answer_within * 2;
-    let asked = async {
+/// Asks a relay to contact the target; returns whether the target answered the relay.
+async fn ask_relay(control: &Rc<Control>, relay: &Record, target: &Record) -> Result<bool, Error> {
+    let timeout = control.context.settings.membership.answer_within * 2;
+    let call = async {
         let client = connect(control, relay.control_address).await?;
         let mut request = client.ask_request();
-        let address = about.control_address.to_string();
+        let address = target.control_address.to_string();
         request.get().set_control_address(address);
         let response = request.send().promise.await?;
         Ok::<_, Error>(response.get()?.get_answered())
     };
-    tokio::time::timeout(within, asked)
+    tokio::time::timeout(timeout, call)
         .await
-        .map_err(|_| Error::Silent)?
+        .map_err(|_| Error::Timeout)?
 }
 
-/// Each exchange has a connection of its own: with hundreds of peers taken in turn an
-/// open one would mostly be idle, and an idle one may have been lost by the network.
+/// Opens a connection to a peer. Every exchange uses a new one: with hundreds of peers contacted in
+/// turn, a kept connection would be idle most of the time and might have been dropped by the
+/// network.
 async fn connect(control: &Rc<Control>, address: SocketAddr) -> Result<peer_rpc::Client, Error> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    let bytes_most = control.context.settings.control.message_bytes_most;
-    let network = peer::network(stream, Side::Client, bytes_most);
+    let max_message_bytes = control.context.settings.control.message_bytes_most;
+    let network = peer::network(stream, Side::Client, max_message_bytes);
     let mut system = RpcSystem::new(Box::new(network), None);
     let client = system.bootstrap(Side::Server);
     tokio::task::spawn_local(async move {
-        let _ = tokio::time::timeout(CONNECTION_MOST, system).await;
+        let _ = tokio::time::timeout(MAX_CONNECTION_DURATION, system).await;
     });
     Ok(client)
 }
 
-/// What this node says in an exchange; documents only if the peer's are known older.
+/// Composes this node's side of an exchange. A document is included only if the peer's is known to
+/// be older.
 pub fn compose(control: &Control, now: Instant, peer: Option<&PeerState>) -> codec::Exchange {
     let mut state = control.state.borrow_mut();
     let versions = state.versions();
@@ -360,24 +375,25 @@
         suspects: state
             .quarantine
             .updates_for(now, peer.map(|peer| &peer.quarantine)),
-        held: state.quarantine.digest(),
+        quarantine_digest: state.quarantine.digest(),
         evacuations: state.evacuations.zones().collect(),
         packs: true,
     }
 }
 
-/// Unpacks a routing table of a peer; what does not unpack changes nothing.
-fn take_routes(control: &Control, packed: Arc<[u8]>) {
+/// Unpacks a routing table received from a peer and puts it in force if it is newer. A table that
+/// does not unpack is ignored.
+fn apply_routes(control: &Control, packed: Arc<[u8]>) {
     match packed::unpack(&packed) {
         Ok(source) => control.offer_routes("peer", &source, Some(packed)),
         Err(error) => {
             control.context.metrics.bad_input("routes");
-            log::warn!(error:% = error; "routing table of a peer does not unpack");
+            log::warn!(error:% = error; "failed to unpack a routing table received from a peer");
         }
     }
 }
 
-/// Takes in what a peer said.
+/// Applies the message of a peer in an exchange.
 pub fn apply_exchange(control: &Control, now: Instant, theirs: codec::Exchange) {
     if let Some(document) = theirs.in_force {
         control.offer(document);
@@ -388,7 +404,7 @@
         .routes
         .is_older_than(theirs.versions.routes);
     if let Some(packed) = theirs.routes.filter(|_| is_newer) {
-        take_routes(control, packed);
+        apply_routes(control, packed);
     }
     evacuations::merge(control, "peer", theirs.evacuations);
     control.merge(now, theirs.updates);
--- a/crates/node/src/control/failover.rs
+++ b/crates/node/src/control/failover.rs
@@ -1,5 +1,7 @@
-//! Readers of the store tell their zone that it answers them; others take their place when
-//! none does.
+//! Reports of the store's readers to their zone, and takeover by other nodes when the reports stop.
+//!
+//! A reader reports while the store answers it. When no reader of a zone does, other nodes of the
+//! zone act as readers in its place.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -20,88 +22,92 @@
 use crate::datagram;
 use crate::request_log::millis;
 
-/// What reports of readers count as in the metrics.
+/// Kind of these datagrams in the metrics.
 const KIND: &str = "reader-report";
 
-/// What a node knows of the store's answers to itself.
+/// Whether the store answers this node, and whether the node therefore acts as a reader.
 #[derive(Default)]
-pub struct Reach {
-    /// When the last call was made that the store answered.
+pub struct StoreHealth {
+    /// When the latest call that the store answered was sent.
     answered_at: Cell<Option<Instant>>,
-    /// Documents whose last read or watch failed are read again and again: no check is needed.
-    failing: Cell<bool>,
-    /// A check was not answered since the last one that was.
-    missed: Cell<bool>,
-    /// This node takes the place of its zone's readers.
+    /// Whether the last read or watch of a document failed. Such reads are retried anyway, so no
+    /// check is needed.
+    reads_fail: Cell<bool>,
+    /// Whether a check has failed since the last answer.
+    check_failed: Cell<bool>,
+    /// Whether this node acts in place of its zone's readers.
     acts_as_reader: Cell<bool>,
-    /// An exchange is under way with a peer that has something newer in force.
+    /// Whether an exchange with a peer that has a newer document is in progress.
     catching_up: Cell<bool>,
-    /// Whether the node follows the store may have changed.
-    changed: Notify,
-    /// The store answers again; a watch from before may be deaf.
-    back: Notify,
+    /// Notified when the node may have started or stopped following the store.
+    role_changed: Notify,
+    /// Notified when the store answers again; a watch opened earlier may have missed changes.
+    recovered: Notify,
 }
 
-impl Reach {
-    /// A call made at `asked_at` was answered.
-    pub fn answered(&self, asked_at: Instant) {
+impl StoreHealth {
+    /// Records that the store answered a call sent at `requested_at`.
+    pub fn record_answer(&self, requested_at: Instant) {
         self.answered_at
-            .set(self.answered_at.get().max(Some(asked_at)));
-        self.failing.set(false);
-        if self.missed.replace(false) {
-            log::info!("the store answers again");
-            self.back.notify_waiters();
+            .set(self.answered_at.get().max(Some(requested_at)));
+        self.reads_fail.set(false);
+        if self.check_failed.replace(false) {
+            log::info!("store answers again");
+            self.recovered.notify_waiters();
         }
     }
 
-    /// A read or watch of a document failed.
-    pub fn failed(&self) {
-        self.failing.set(true);
+    /// Records that a read or watch of a document failed.
+    pub fn record_read_failure(&self) {
+        self.reads_fail.set(true);
     }
 
-    /// When the last call was made that the store answered.
+    /// Returns when the latest call that the store answered was sent.
     pub fn answered_at(&self) -> Option<Instant> {
         self.answered_at.get()
     }
 
-    /// Whether this node takes the place of its zone's readers, and the store answers it.
+    /// Returns whether this node acts in place of its zone's readers and the store answers it.
     pub fn acts_as_reader(&self) -> bool {
-        self.acts_as_reader.get() && !self.missed.get()
+        self.acts_as_reader.get() && !self.check_failed.get()
     }
 
-    /// Waits until whether the node follows the store may have changed.
-    pub async fn changed(&self) {
-        self.changed.notified().await;
+    /// Waits until the node may have started or stopped following the store.
+    pub async fn role_changed(&self) {
+        self.role_changed.notified().await;
     }
 
-    /// Waits until the store answers again after a check that it did not answer.
-    pub async fn back(&self) {
-        self.back.notified().await;
+    /// Waits until the store answers again after a failed check.
+    pub async fn recovered(&self) {
+        self.recovered.notified().await;
     }
 }
 
-/// A reader's report, as a datagram.
+/// Datagram in which a reader reports that the store answers it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Report {
     host: Arc<str>,
-    /// How long ago the call was made that the store answered last, in milliseconds.
+    /// Time since the latest call that the store answered was sent, in milliseconds.
     age_millis: u64,
     preset: Revision,
     routes: Version,
 }
 
-/// Sends and takes reports until the thread ends, at the address of exchanges.
-pub async fn listen(control: Rc<Control>) {
+/// Sends and receives reports until the thread ends, at the address used for exchanges.
+pub async fn run(control: Rc<Control>) {
     let address = control.context.addresses.control;
     let socket = match UdpSocket::bind(address).await {
         Ok(socket) => Rc::new(socket),
         Err(error) => {
-            log::error!(address:% = address, error:% = error; "readers of the store are not heard");
+            log::error!(
+                address:% = address, error:% = error;
+                "failed to bind the socket for reports of the store's readers"
+            );
             return;
         }
     };
     tokio::task::spawn_local(receive(Rc::clone(&control), Rc::clone(&socket)));
-    check(&control, &socket).await;
+    run_checks(&control, &socket).await;
 }
 
 async fn receive(control: Rc<Control>, socket: Rc<UdpSocket>) {
@@ -135,103 +141,109 @@
     }
 }
 
-/// Has one exchange with the node at this address, which has something newer in force.
+/// Starts an exchange with the node at this address, which has a newer document in force.
 fn catch_up(control: &Rc<Control>, address: SocketAddr) {
-    if control.reach.catching_up.replace(true) {
+    if control.store_health.catching_up.replace(true) {
         return;
     }
     let control = Rc::clone(control);
     tokio::task::spawn_local(async move {
-        if let Err(error) = exchange::with(&control, address).await {
-            log::debug!(peer:% = address, error:% = error; "newer documents not taken");
+        if let Err(error) = exchange::perform(&control, address).await {
+            log::debug!(peer:% = address, error:% = error; "failed to fetch newer documents");
         }
-        control.reach.catching_up.set(false);
+        control.store_health.catching_up.set(false);
     });
 }
 
-/// Checks that the store answers this node, while it reads documents there, and reports it.
-async fn check(control: &Rc<Control>, socket: &UdpSocket) {
-    let every = control.context.settings.failover.check_every;
+/// Checks regularly that the store answers this node while it reads documents there, and reports
+/// the result to the zone.
+async fn run_checks(control: &Rc<Control>, socket: &UdpSocket) {
+    let interval = control.context.settings.failover.check_every;
     loop {
         let now = Instant::now();
-        let turn_at = if reads_store(control, now) {
+        let takeover_at = if update_role(control, now) {
             if is_check_due(control, now) {
-                ask_store(control).await;
+                check_store(control).await;
             }
-            send(control, socket).await;
+            send_report(control, socket).await;
             None
         } else {
-            turn_at(control)
+            takeover_at(control)
         };
-        let next_at = turn_at.map_or(now + every, |turn_at| turn_at.min(now + every));
+        let next_at = takeover_at.map_or(now + interval, |at| at.min(now + interval));
         tokio::time::sleep_until(next_at.into()).await;
     }
 }
 
-/// Whether this node reads documents in the store, or is to, in place of its zone's readers.
-fn reads_store(control: &Control, now: Instant) -> bool {
+/// Updates whether this node acts as a reader; returns whether it reads documents in the store, for
+/// a reason of its own or in place of its zone's readers.
+fn update_role(control: &Control, now: Instant) -> bool {
     let snapshot = control.snapshot();
     let mut state = control.state.borrow_mut();
     let follows = state.bootstrap.follows_store(now, snapshot);
     let position = state.table.successor_position();
     let acts_as_reader = !follows && state.failover.acts_as_reader(now, position);
-    if acts_as_reader && !control.reach.acts_as_reader.get() {
-        // Nothing is read in full before the store has answered a check.
-        control.reach.missed.set(true);
+    if acts_as_reader && !control.store_health.acts_as_reader.get() {
+        // The store has to answer a check before any document is read.
+        control.store_health.check_failed.set(true);
     }
-    control.reach.acts_as_reader.set(acts_as_reader);
+    control.store_health.acts_as_reader.set(acts_as_reader);
     follows || acts_as_reader
 }
 
-/// When this node's turn comes to take the place of its zone's readers.
-fn turn_at(control: &Control) -> Option<Instant> {
+/// Returns when this node takes over from its zone's readers if no report arrives.
+fn takeover_at(control: &Control) -> Option<Instant> {
     let state = control.state.borrow();
     state.failover.takeover_at(state.table.successor_position())
 }
 
-/// Whether the store is to be asked: nothing else has shown lately that it answers, nor fails.
+/// Returns whether to check the store: no other call has recently shown whether it answers.
 fn is_check_due(control: &Control, now: Instant) -> bool {
-    let reach = &control.reach;
-    let every = control.context.settings.failover.check_every;
-    let is_recent = reach.answered_at.get().is_some_and(|at| now < at + every);
-    let is_read_again = reach.failing.get() && !reach.acts_as_reader.get();
-    !is_recent && !is_read_again
+    let health = &control.store_health;
+    let interval = control.context.settings.failover.check_every;
+    let answered_recently = health
+        .answered_at
+        .get()
+        .is_some_and(|at| now < at + interval);
+    let is_retrying = health.reads_fail.get() && !health.acts_as_reader.get();
+    !answered_recently && !is_retrying
 }
 
-/// Asks the store for something short, by a read that may lag, which costs it little.
-async fn ask_store(control: &Control) {
-    let reach = &control.reach;
+/// Checks that the store answers, with a small and possibly stale read, which costs it little.
+async fn check_store(control: &Control) {
+    let health = &control.store_health;
     let key = keys::seed(control.context.host());
     control.context.metrics.store_call("check-may-lag");
-    let asked_at = Instant::now();
+    let requested_at = Instant::now();
     match control.store.list(&key, Freshness::MayLag).await {
-        Ok(_) => reach.answered(asked_at),
-        Err(error) => missed(control, &error),
+        Ok(_) => health.record_answer(requested_at),
+        Err(error) => record_failed_check(control, &error),
     }
-    reach.changed.notify_waiters();
+    health.role_changed.notify_waiters();
 }
 
-fn missed(control: &Control, error: &Error) {
-    if control.reach.missed.replace(true) {
+fn record_failed_check(control: &Control, error: &Error) {
+    if control.store_health.check_failed.replace(true) {
         return;
     }
-    let answered_at = control.reach.answered_at();
+    let answered_at = control.store_health.answered_at();
     let age = answered_at.map(|at| millis(at.elapsed()));
-    log::warn!(store_answered_ms:? = age, error:% = error; "the store does not answer a check");
+    log::warn!(store_answered_ms:? = age, error:% = error; "store does not answer a check");
 }
 
-/// How long ago the call was made that the store answered last, if it answers still.
-fn answered_ago(control: &Control) -> Option<Duration> {
-    let reach = &control.reach;
+/// Returns the time since the latest call that the store answered was sent, or `None` if the store
+/// no longer answers.
+fn answer_age(control: &Control) -> Option<Duration> {
+    let health = &control.store_health;
     let doubted_after = control.context.settings.failover.doubted_after;
-    let ago = reach.answered_at()?.elapsed();
-    let answers = !reach.missed.get() && !reach.failing.get();
-    (answers && ago < doubted_after).then_some(ago)
+    let age = health.answered_at()?.elapsed();
+    let answers = !health.check_failed.get() && !health.reads_fail.get();
+    (answers && age < doubted_after).then_some(age)
 }
 
-/// Tells the zone that the store answers this node, if it does.
-async fn send(control: &Control, socket: &UdpSocket) {
-    let Some(ago) = answered_ago(control) else {
+/// Reports to the zone that the store answers this node, if it does.
+async fn send_report(control: &Control, socket: &UdpSocket) {
+    let Some(age) = answer_age(control) else {
         return;
     };
     let (versions, zone) = {
@@ -245,7 +257,7 @@
     };
     let report = Report {
         host: Arc::clone(control.context.host()),
-        age_millis: millis(ago),
+        age_millis: millis(age),
         preset: versions.preset,
         routes: versions.routes,
     };
--- a/crates/node/src/control/holder.rs
+++ b/crates/node/src/control/holder.rs
@@ -1,4 +1,7 @@
-//! What a few nodes of each zone do with the store, for all the others.
+//! Entries in the store through which nodes find each other.
+//!
+//! The entries are called seeds. The few designated readers of each zone maintain them; a node that
+//! knows no peer reads them.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -11,23 +14,24 @@
 
 use super::{Control, exchange, persistence};
 
-/// How often this node looks whether something is due.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// Pause before a failed call about seeds is made again. An entry that lapsed while the store
-/// was away must be back within two seconds of its return, which holds two such pauses, a
-/// call that times out and the calls that write the entry.
-const SEEDS_AGAIN: Duration = Duration::from_millis(500);
-/// Entries joined at once by a node that knows nobody: one of them may be of a host that ended,
-/// and each that answers sends its whole table.
-const JOINED_AT_ONCE: usize = 3;
-
-/// Keeps the seeds, as long as this node follows the store, and looks for others there while it
-/// knows nobody.
-pub async fn work(control: Rc<Control>) {
+/// Interval at which this node checks whether work is due.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay before failed calls for seeds are retried. An entry that expired during an outage of the
+/// store must be written again within two seconds of its end. That leaves time for two such delays,
+/// a call that times out and the calls that write the entry.
+const SEEDS_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Number of seeds through which a node without peers joins at once. More than one, because a seed
+/// may belong to a host that has ended; only a few, because each host that answers sends its whole
+/// table.
+const MAX_CONCURRENT_JOINS: usize = 3;
+
+/// Maintains the seeds while this node follows the store, and discovers peers there while it knows
+/// none.
+pub async fn run(control: Rc<Control>) {
     let mut seeds_at = Instant::now();
     loop {
         let now = Instant::now();
-        if control.store_regained.take() {
+        if control.store_recovered.take() {
             seeds_at = now;
         }
         let snapshot = control.snapshot();
@@ -39,7 +43,7 @@
             .is_discovery_due(now, snapshot)
         {
             discover_peers(&control).await;
-            persistence::recall(&control).await;
+            persistence::load(&control).await;
             let now = Instant::now();
             control
                 .state
@@ -53,57 +57,57 @@
                 .bootstrap
                 .follows_store(now, snapshot)
         {
-            let kept = keep_seeds(&control).await;
+            let succeeded = maintain_seeds(&control).await;
             let settings = &control.context.settings.control;
-            let pause = if kept {
+            let pause = if succeeded {
                 settings.seeds_every
             } else {
-                SEEDS_AGAIN
+                SEEDS_RETRY_DELAY
             };
             seeds_at = Instant::now() + pause;
         }
-        let holder = control.state.borrow().table.is_designated_reader();
-        if !holder && control.state.borrow().seed_lease.is_some() {
-            leave(&control).await;
+        let is_reader = control.state.borrow().table.is_designated_reader();
+        if !is_reader && control.state.borrow().seed_lease.is_some() {
+            remove_seed(&control).await;
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Finds others by their entries, first by a read that may lag, and writes an entry if there is
-/// none.
+/// Discovers peers through their seeds, first with a possibly stale read and then with the latest
+/// one, and writes this node's seed if there are none.
 async fn discover_peers(control: &Rc<Control>) {
     for freshness in [Freshness::MayLag, Freshness::Latest] {
-        let Some(found) = list_seeds(control, freshness).await else {
+        let Some(items) = list_seeds(control, freshness).await else {
             return;
         };
-        let mut others: Vec<Record> = found
+        let mut others: Vec<Record> = items
             .iter()
-            .filter_map(|found| parse_seed(control, found))
+            .filter_map(|item| parse_seed(control, item))
             .filter(|record| record.host != *control.context.host())
             .collect();
         match bootstrap::next_step(freshness == Freshness::Latest, others.len()) {
             Step::Join => {
                 control.state.borrow_mut().table.shuffle(&mut others);
-                others.truncate(JOINED_AT_ONCE);
+                others.truncate(MAX_CONCURRENT_JOINS);
                 if join_all(control, &others).await {
                     return;
                 }
             }
             Step::ReadLatest => {}
             Step::WriteEntry => {
-                keep_seed(control).await;
+                ensure_seed(control).await;
             }
         }
     }
 }
 
-/// Joins through each of these at once; true if one answered.
+/// Joins through all of these hosts at once; returns whether one answered.
 async fn join_all(control: &Rc<Control>, records: &[Record]) -> bool {
     let joining = records.iter().map(|record| async {
-        let joined = exchange::join_at(control, record.control_address).await;
+        let joined = exchange::join_through(control, record.control_address).await;
         if let Err(error) = &joined {
-            log::debug!(host = &*record.host, error:% = error; "seed not joined");
+            log::debug!(host = &*record.host, error:% = error; "failed to join through a seed");
         }
         joined.is_ok()
     });
@@ -111,50 +115,50 @@
     joined.contains(&true)
 }
 
-/// Renews this node's entry and finds others; false if the store failed.
+/// Renews this node's seed and joins through unknown hosts; returns false if the store failed.
 ///
-/// Failure: the store is out, and each of the few nodes that use it asks for all it needs, twice
-/// a second. Symptom: the store's bill of a quiet day is spent in seconds, and its return meets
-/// all of it at once. The renewal comes first, the cheapest of these calls, and while it fails
-/// nothing else is asked.
-async fn keep_seeds(control: &Rc<Control>) -> bool {
-    if !renew_seed(control).await || !find_others(control).await {
+/// Failure: the store is down, and each of the few nodes that use it sends all its calls twice a
+/// second. Symptom: the calls cost as much within seconds as on a whole quiet day, and all of them
+/// reach the store at once when it recovers. The renewal, the cheapest of the calls, comes first;
+/// while it fails, no other call is sent.
+async fn maintain_seeds(control: &Rc<Control>) -> bool {
+    if !renew_seed(control).await || !join_unknown(control).await {
         return false;
     }
-    let holder = control.state.borrow().table.is_designated_reader();
-    !holder || keep_seed(control).await
+    let is_reader = control.state.borrow().table.is_designated_reader();
+    !is_reader || ensure_seed(control).await
 }
 
-/// Reads the seeds and joins those not known yet, which also merges two fleets that
-/// found themselves apart.
+/// Reads the seeds and joins through hosts that are not known yet, which also merges two fleets
+/// that formed separately. Returns false if the store failed.
 ///
-/// Failure: the store takes entries away without ending their leases. Symptom: a node
-/// renews its lease and can no longer be found. Its own entry must be in the list; where a list
-/// that may lag lacks it, the latest one decides.
-async fn find_others(control: &Rc<Control>) -> bool {
+/// Failure: the store loses entries without ending their leases. Symptom: a node goes on renewing
+/// its lease but can no longer be found. This node therefore checks that the list contains its own
+/// seed; if a possibly stale list lacks it, the latest list decides.
+async fn join_unknown(control: &Rc<Control>) -> bool {
     let own_key = keys::seed(control.context.host());
-    let Some(mut found) = list_seeds(control, Freshness::MayLag).await else {
+    let Some(mut items) = list_seeds(control, Freshness::MayLag).await else {
         return false;
     };
-    if !found.iter().any(|item| item.key == own_key) {
+    if !items.iter().any(|item| item.key == own_key) {
         let Some(latest) = list_seeds(control, Freshness::Latest).await else {
             return false;
         };
-        found = latest;
+        items = latest;
     }
-    if !found.iter().any(|item| item.key == own_key) {
+    if !items.iter().any(|item| item.key == own_key) {
         control.state.borrow_mut().seed_lease = None;
     }
-    let unknown: Vec<Record> = found
+    let unknown: Vec<Record> = items
         .iter()
-        .filter_map(|found| parse_seed(control, found))
-        .filter(|record| !knows(control, record))
+        .filter_map(|item| parse_seed(control, item))
+        .filter(|record| !is_known(control, record))
         .collect();
     join_all(control, &unknown).await;
     true
 }
 
-/// The entries of all; `None` if the store failed.
+/// Returns all seeds, or `None` if the store failed.
 async fn list_seeds(control: &Rc<Control>, freshness: Freshness) -> Option<Vec<Item>> {
     let kind = match freshness {
         Freshness::Latest => "seeds",
@@ -162,30 +166,30 @@
     };
     control.context.metrics.store_call(kind);
     match control.store.list(keys::SEEDS, freshness).await {
-        Ok(found) => Some(found),
+        Ok(items) => Some(items),
         Err(error) => {
-            log::info!(error:% = error; "seeds not read");
+            log::info!(error:% = error; "failed to read the seeds");
             None
         }
     }
 }
 
-fn parse_seed(control: &Control, found: &Item) -> Option<Record> {
-    let parsed = serde_json::from_slice(&found.value);
+fn parse_seed(control: &Control, item: &Item) -> Option<Record> {
+    let parsed = serde_json::from_slice(&item.value);
     if parsed.is_err() {
         control.context.metrics.bad_input("store-value");
-        log::warn!(key = &*found.key; "seed does not parse");
+        log::warn!(key = &*item.key; "failed to parse a seed");
     }
     parsed.ok()
 }
 
-fn knows(control: &Control, record: &Record) -> bool {
+fn is_known(control: &Control, record: &Record) -> bool {
     let state = control.state.borrow();
-    let mut known = state.table.present();
-    known.any(|known| known.host == record.host)
+    let mut members = state.table.present();
+    members.any(|member| member.host == record.host)
 }
 
-/// Renews this node's entry among the seeds, if it has one; false if the store failed.
+/// Renews this node's seed if it has one; returns false if the store failed.
 async fn renew_seed(control: &Rc<Control>) -> bool {
     let Some(lease) = control.state.borrow().seed_lease else {
         return true;
@@ -198,27 +202,27 @@
             true
         }
         Err(error) => {
-            log::info!(error:% = error; "seed not renewed");
+            log::info!(error:% = error; "failed to renew this node's seed");
             false
         }
     }
 }
 
-/// Writes this node's entry among the seeds, if it has none; false if the store failed.
-async fn keep_seed(control: &Rc<Control>) -> bool {
+/// Writes this node's seed if it has none; returns false if the store failed.
+async fn ensure_seed(control: &Rc<Control>) -> bool {
     if control.state.borrow().seed_lease.is_some() {
         return true;
     }
     let epoch = control.store.epochs().newest();
     match write_seed(control).await {
-        // A lease of an earlier epoch may be another node's by now.
+        // The store may have granted a lease of an earlier epoch to another node since.
         Ok(_) if control.store.epochs().has_risen_since(epoch) => false,
         Ok(lease) => {
             control.state.borrow_mut().seed_lease = Some(lease);
             true
         }
         Err(error) => {
-            log::info!(error:% = error; "seed not written");
+            log::info!(error:% = error; "failed to write this node's seed");
             false
         }
     }
@@ -243,13 +247,13 @@
     Ok(lease)
 }
 
-/// Takes this node's entry out of the seeds.
-pub async fn leave(control: &Rc<Control>) {
+/// Removes this node's seed from the store.
+pub async fn remove_seed(control: &Rc<Control>) {
     let Some(lease) = control.state.borrow_mut().seed_lease.take() else {
         return;
     };
     control.context.metrics.store_call("lease");
     if let Err(error) = control.store.revoke(lease).await {
-        log::debug!(error:% = error; "seed not taken out; it lapses");
+        log::debug!(error:% = error; "failed to remove this node's seed; it will expire");
     }
 }
--- a/crates/node/src/control/peer.rs
+++ b/crates/node/src/control/peer.rs
@@ -1,4 +1,4 @@
-//! The side of exchanges that answers.
+//! Server for exchanges that peers start.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,14 +15,14 @@
 use super::{Control, codec, exchange};
 use crate::peer_capnp::peer;
 
-/// The connection type of both sides.
+/// RPC transport over a TCP connection, for either side.
 pub type Network =
     VatNetwork<BufReader<tokio_util::compat::Compat<tokio::net::tcp::OwnedReadHalf>>>;
 
-/// Wraps a connection; larger messages than the limit end it.
-pub fn network(stream: TcpStream, side: Side, bytes_most: usize) -> Network {
+/// Wraps a connection in an RPC transport; a message of more than `max_message_bytes` closes it.
+pub fn network(stream: TcpStream, side: Side, max_message_bytes: usize) -> Network {
     let mut options = ReaderOptions::new();
-    options.traversal_limit_in_words(Some(bytes_most / size_of::<u64>()));
+    options.traversal_limit_in_words(Some(max_message_bytes / size_of::<u64>()));
     let (read, write) = stream.into_split();
     VatNetwork::new(
         BufReader::new(read.compat()),
@@ -34,34 +34,34 @@
 
 /// Accepts exchanges until the thread ends.
 ///
-/// Garbage or a foreign protocol fails the decoder and ends that connection alone.
+/// Invalid input or another protocol fails in the decoder and closes only that connection.
 pub async fn serve(control: Rc<Control>, listener: TcpListener) {
-    let open = Rc::new(Cell::new(0_usize));
+    let open_connections = Rc::new(Cell::new(0_usize));
     let settings = &control.context.settings.control;
     let client: peer::Client = capnp_rpc::new_client(Server {
         control: Rc::clone(&control),
     });
     loop {
         let Ok((stream, address)) = listener.accept().await else {
-            tokio::time::sleep(super::exchange::ACCEPT_AGAIN).await;
+            tokio::time::sleep(super::exchange::ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if open.get() >= settings.connections_most {
+        if open_connections.get() >= settings.connections_most {
             control.context.metrics.bad_input("control-connections");
             continue;
         }
         let _ = stream.set_nodelay(true);
         let network = network(stream, Side::Server, settings.message_bytes_most);
         let system = RpcSystem::new(Box::new(network), Some(client.clone().client));
-        open.set(open.get() + 1);
-        let open = Rc::clone(&open);
+        open_connections.set(open_connections.get() + 1);
+        let open_connections = Rc::clone(&open_connections);
         let control = Rc::clone(&control);
         tokio::task::spawn_local(async move {
-            let ended = tokio::time::timeout(exchange::CONNECTION_MOST, system).await;
-            open.set(open.get() - 1);
-            if let Ok(Err(error)) = ended {
+            let result = tokio::time::timeout(exchange::MAX_CONNECTION_DURATION, system).await;
+            open_connections.set(open_connections.get() - 1);
+            if let Ok(Err(error)) = result {
                 control.context.metrics.bad_input("control");
-                log::debug!(peer:% = address, error:% = error; "exchange connection ended");
+                log::debug!(peer:% = address, error:% = error; "exchange connection failed");
             }
         });
     }
@@ -86,7 +86,7 @@
         let packs = peer.packs;
         let records = codec::write_exchange(now, &ours, packs, results.get().init_theirs());
         let sent = results.get().total_size()?.word_count;
-        self.control.exchange_sent(sent, records);
+        self.control.record_sent(sent, records);
         Ok(())
     }
 
@@ -96,7 +96,7 @@
         mut results: peer::AskResults,
     ) -> Result<(), capnp::Error> {
         let address = codec::read_address(params.get()?.get_control_address()?)?;
-        let answered = exchange::with(&self.control, address).await.is_ok();
+        let answered = exchange::perform(&self.control, address).await.is_ok();
         results.get().set_answered(answered);
         Ok(())
     }
@@ -120,9 +120,9 @@
             .then(|| codec::pack_records(&records));
         let bytes = if let Some(packed) = packed.flatten() {
             results.get().set_packed_records(&packed);
-            codec::bytes_of(&packed)
+            codec::byte_len(&packed)
         } else {
-            let length = codec::length_of(&records);
+            let length = codec::list_len(&records);
             codec::write_records(&records, results.get().init_records(length))
         };
         self.control.context.metrics.control_sent("table", bytes);
--- a/crates/node/src/control/persistence.rs
+++ b/crates/node/src/control/persistence.rs
@@ -1,9 +1,10 @@
-//! Requests that are held back, kept in the store.
+//! Persistence of the quarantine in the store.
 //!
-//! Failure: all nodes lose power at once. Symptom: nobody knows what was held back, and its caller
-//! ends upstreams anew. The few nodes that use the store for all others keep it there, and a node
-//! that has to do without peers at its start reads it beside the routing table or the entries of
-//! others. Nothing is read or written while nothing is held back.
+//! Failure: all nodes lose power at once. Symptom: no node knows the quarantined requests any more,
+//! and their callers crash upstreams again. The few nodes that use the store for all others persist
+//! the quarantine there. A node that finds no peers when it starts loads it, together with the
+//! routing table or the entries of other nodes. Apart from that, the store is neither read nor
+//! written while no request is quarantined.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -20,38 +21,38 @@
 use crate::context::unix_millis;
 use crate::request_log::millis;
 
-/// The few nodes that could write what has changed wait for different times up to this, so that
-/// mostly one writes and the others find it written.
-const SPREAD: Duration = Duration::from_secs(1);
-/// Pause before a failed write is made again; a store that is out is asked no more often.
-const AGAIN_AFTER: Duration = Duration::from_secs(1);
+/// Maximum delay before a change is written. Each of the few nodes that may write it waits for a
+/// different time, so that usually one writes and the others find the change already stored.
+const WRITE_SPREAD: Duration = Duration::from_secs(1);
+/// Delay before a failed write is retried, which limits the calls to a store that is down.
+const WRITE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A request that is held back, as it lies in the store.
+/// Quarantined request in the form that is stored.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Stored {
+struct Entry {
     fingerprint: Fingerprint,
     ends: Vec<Crash>,
     trials: u32,
-    /// In milliseconds since the Unix epoch, by the clock of the node that wrote it.
+    /// Expiry time in milliseconds since the Unix epoch, by the clock of the node that wrote it.
     forgotten_at: u64,
 }
 
-/// Keeps what is held back in the store, whenever that changes here.
+/// Persists the quarantine whenever it changes on this node.
 ///
-/// A change waits until this node uses the store: one that has just started does not yet, and any
-/// other may take the place of one that ended before it wrote.
-pub async fn keep(control: Rc<Control>) {
+/// Every node keeps a change pending until it uses the store: a node that has just started does
+/// not use it yet, and any node may take over from one that ended before it wrote the change.
+pub async fn run(control: Rc<Control>) {
     let mut stagger = Stagger::new(control.context.host());
     loop {
-        control.held_changed.notified().await;
-        tokio::time::sleep(stagger.next(SPREAD)).await;
+        control.quarantine_changed.notified().await;
+        tokio::time::sleep(stagger.next(WRITE_SPREAD)).await;
         while !try_write(&control).await {
-            tokio::time::sleep(AGAIN_AFTER).await;
+            tokio::time::sleep(WRITE_RETRY_DELAY).await;
         }
     }
 }
 
-/// Brings the store up to date if this node uses it; false if that is still to be done.
+/// Writes the quarantine if this node uses the store; returns false if the write is still pending.
 async fn try_write(control: &Control) -> bool {
     if !control.follows_store(Instant::now()) {
         return false;
@@ -69,18 +70,19 @@
     }
 }
 
-/// Brings the store up to date; false if another node wrote in between.
+/// Merges the stored quarantine and writes the result if it differs; returns false if the write has
+/// to be repeated because another node wrote or the store was restored in the meantime.
 async fn write(control: &Control) -> Result<bool, Error> {
     control.context.metrics.store_call("held");
-    let (found, _) = control.store.read(keys::HELD).await?;
+    let (item, _) = control.store.read(keys::HELD).await?;
     let epoch = control.store.epochs().newest();
-    let revision = found.as_ref().map_or(0, |item| item.revision);
-    let stored = found.as_ref().map_or(&[][..], |item| &item.value);
-    let stored = parse(control, stored);
+    let revision = item.as_ref().map_or(0, |item| item.revision);
+    let value = item.as_ref().map_or(&[][..], |item| &item.value);
+    let stored = parse(control, value);
     let now = Instant::now();
     suspects::merge(control, now, to_suspects(control, now, &stored));
-    let held = control.state.borrow().quarantine.quarantined();
-    if is_same(&stored, &held) {
+    let quarantined = control.state.borrow().quarantine.quarantined();
+    if is_same(&stored, &quarantined) {
         return Ok(true);
     }
     let swap = Swap {
@@ -90,78 +92,83 @@
         }],
         puts: vec![Put {
             key: keys::HELD.to_owned(),
-            value: serde_json::to_vec(&to_stored(now, &held))?,
+            value: serde_json::to_vec(&to_entries(now, &quarantined))?,
             lease: 0,
         }],
         ..Swap::default()
     };
     control.context.metrics.store_call("held");
     let swapped = control.store.swap(&swap).await?;
-    // A store that came back in between has lost it, or took the revision for another one.
+    // A store that was restored in the meantime has lost the write, or matched the revision of
+    // another write.
     Ok(swapped && !control.store.epochs().has_risen_since(epoch))
 }
 
-/// Reads once what was held back before this node started.
-pub async fn recall(control: &Control) {
-    if control.recalled.get() {
+/// Loads the quarantine that was persisted before this node started, until this has succeeded once.
+pub async fn load(control: &Control) {
+    if control.quarantine_loaded.get() {
         return;
     }
     control.context.metrics.store_call("held-may-lag");
     match control.store.list(keys::HELD, Freshness::MayLag).await {
         Ok(items) => {
-            control.recalled.set(true);
+            control.quarantine_loaded.set(true);
             let now = Instant::now();
             for item in items {
                 let stored = parse(control, &item.value);
                 suspects::merge(control, now, to_suspects(control, now, &stored));
             }
         }
-        Err(error) => log::info!(error:% = error; "what was held back is not read"),
+        Err(error) => log::info!(error:% = error; "failed to read the quarantine list"),
     }
 }
 
-fn parse(control: &Control, written: &[u8]) -> Vec<Stored> {
-    if written.is_empty() {
+fn parse(control: &Control, value: &[u8]) -> Vec<Entry> {
+    if value.is_empty() {
         return Vec::new();
     }
-    serde_json::from_slice(written).unwrap_or_else(|error| {
+    serde_json::from_slice(value).unwrap_or_else(|error| {
         control.context.metrics.bad_input("store-value");
-        log::warn!(error:% = error; "what is held back does not parse in the store");
+        log::warn!(error:% = error; "failed to parse the stored quarantine list");
         Vec::new()
     })
 }
 
-fn is_same(stored: &[Stored], held: &[Suspect]) -> bool {
-    let peer = |stored: &Stored| (stored.fingerprint, stored.trials);
-    let known = |held: &Suspect| (held.fingerprint, held.trials);
-    stored.iter().map(peer).eq(held.iter().map(known))
+fn is_same(stored: &[Entry], quarantined: &[Suspect]) -> bool {
+    let stored_key = |entry: &Entry| (entry.fingerprint, entry.trials);
+    let own_key = |suspect: &Suspect| (suspect.fingerprint, suspect.trials);
+    stored
+        .iter()
+        .map(stored_key)
+        .eq(quarantined.iter().map(own_key))
 }
 
-fn to_stored(now: Instant, held: &[Suspect]) -> Vec<Stored> {
-    let told_at = unix_millis();
-    let stored = held.iter().map(|held| {
-        let left = held.expires_at.saturating_duration_since(now);
-        Stored {
-            fingerprint: held.fingerprint,
-            ends: held.crashes.clone(),
-            trials: held.trials,
-            forgotten_at: told_at.saturating_add(millis(left)),
+fn to_entries(now: Instant, quarantined: &[Suspect]) -> Vec<Entry> {
+    let written_at = unix_millis();
+    let entries = quarantined.iter().map(|suspect| {
+        let left = suspect.expires_at.saturating_duration_since(now);
+        Entry {
+            fingerprint: suspect.fingerprint,
+            ends: suspect.crashes.clone(),
+            trials: suspect.trials,
+            forgotten_at: written_at.saturating_add(millis(left)),
         }
     });
-    stored.collect()
+    entries.collect()
 }
 
-/// A clock that was set back since must not make anything outlast its time.
-fn to_suspects(control: &Control, now: Instant, stored: &[Stored]) -> Vec<Suspect> {
+/// Converts stored entries. The remaining time is limited, so that a clock that was set back since
+/// the write does not prolong the quarantine.
+fn to_suspects(control: &Control, now: Instant, entries: &[Entry]) -> Vec<Suspect> {
     let read_at = unix_millis();
-    let longest = control.context.settings.quarantine.remember_for;
-    let suspects = stored.iter().map(|stored| {
-        let left = Duration::from_millis(stored.forgotten_at.saturating_sub(read_at));
+    let max_left = control.context.settings.quarantine.remember_for;
+    let suspects = entries.iter().map(|entry| {
+        let left = Duration::from_millis(entry.forgotten_at.saturating_sub(read_at));
         Suspect {
-            fingerprint: stored.fingerprint,
-            crashes: stored.ends.clone(),
-            trials: stored.trials,
-            expires_at: now + left.min(longest),
+            fingerprint: entry.fingerprint,
+            crashes: entry.ends.clone(),
+            trials: entry.trials,
+            expires_at: now + left.min(max_left),
         }
     });
     suspects.collect()
--- a/crates/node/src/control/suspects.rs
+++ b/crates/node/src/control/suspects.rs
@@ -1,4 +1,5 @@
-//! Requests that end upstreams: what the guard saw, what other nodes tell, and what is held back.
+//! Requests suspected of crashing upstreams: events of the guard, evidence from other nodes, and
+//! the quarantine.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -11,53 +12,54 @@
 
 use super::Control;
 
-/// Requests of one change told one by one up to this many, so that a flood of them does not fill
-/// the log.
-const CHANGES_TOLD: usize = 8;
+/// Maximum number of requests logged per change, so that a flood of them does not fill the log.
+const MAX_LOGGED_CHANGES: usize = 8;
 
-/// Takes in what the guard saw until the thread ends.
-pub async fn take(control: Rc<Control>, mut events: mpsc::Receiver<Event>) {
+/// Records events of the guard until the thread ends.
+pub async fn receive(control: Rc<Control>, mut events: mpsc::Receiver<Event>) {
     while let Some(event) = events.recv().await {
         let now = Instant::now();
-        change(&control, |control| {
+        update(&control, |control| {
             control.state.borrow_mut().quarantine.record(now, event)
         });
     }
 }
 
-/// Takes in what another node tells.
+/// Merges evidence received from another node or loaded from the store.
 pub fn merge(control: &Control, now: Instant, suspects: Vec<Suspect>) {
     if suspects.is_empty() {
         return;
     }
-    change(control, |control| {
+    update(control, |control| {
         control.state.borrow_mut().quarantine.merge(now, suspects)
     });
 }
 
-/// Forgets what is due.
+/// Removes expired evidence.
 pub fn tick(control: &Control, now: Instant) {
-    change(control, |control| {
+    update(control, |control| {
         control.state.borrow_mut().quarantine.expire(now)
     });
 }
 
-/// Shows the other duties what a change came to, and tells peers at once.
+/// Applies an operation, publishes its result to the other threads and pushes urgent changes to a
+/// few peers at once.
 ///
-/// Failure: each of three nodes knows one end, and a round with one peer takes half a second.
-/// Symptom: upstreams go on ending until all three are known in one place. An update goes to a
-/// few peers at once, and each to whom it is new does the same.
-fn change(control: &Control, act: impl FnOnce(&Control) -> Change) {
+/// Failure: three nodes each know of one crash, and a gossip round with one peer takes half a
+/// second. Symptom: upstreams go on crashing until one node knows of all three crashes. An urgent
+/// update is therefore pushed to a few peers at once, and each peer to which it is new does the
+/// same.
+fn update(control: &Control, operation: impl FnOnce(&Control) -> Change) {
     let before = fingerprints(&control.state.borrow().quarantine.quarantined());
     let digest = control.state.borrow().quarantine.digest();
-    let change = act(control);
+    let change = operation(control);
     if change == Change::None {
         return;
     }
     let state = control.state.borrow();
     let screen = Arc::new(state.quarantine.screen());
     let suspects = state.quarantine.len();
-    let held_changed = state.quarantine.digest() != digest;
+    let quarantine_changed = state.quarantine.digest() != digest;
     drop(state);
     control.context.latest.screen.send_replace(screen);
     let after = control.state.borrow().quarantine.quarantined();
@@ -66,29 +68,32 @@
     if change == Change::Urgent {
         control.updates_due.notify_one();
     }
-    if held_changed {
-        control.held_changed.notify_one();
+    if quarantine_changed {
+        control.quarantine_changed.notify_one();
     }
 }
 
-fn fingerprints(held: &[Suspect]) -> BTreeSet<Fingerprint> {
-    held.iter().map(|suspect| suspect.fingerprint).collect()
+fn fingerprints(suspects: &[Suspect]) -> BTreeSet<Fingerprint> {
+    suspects.iter().map(|suspect| suspect.fingerprint).collect()
 }
 
 fn log_changes(before: &BTreeSet<Fingerprint>, after: &[Suspect]) {
-    let is_new = |held: &&Suspect| !before.contains(&held.fingerprint);
-    for held in after.iter().filter(is_new).take(CHANGES_TOLD) {
+    let is_new = |suspect: &&Suspect| !before.contains(&suspect.fingerprint);
+    for suspect in after.iter().filter(is_new).take(MAX_LOGGED_CHANGES) {
         log::warn!(
-            fingerprint:% = held.fingerprint,
-            ends = held.crashes.len(),
-            trials = held.trials;
-            "request is held back: upstreams ended under it"
+            fingerprint:% = suspect.fingerprint,
+            ends = suspect.crashes.len(),
+            trials = suspect.trials;
+            "request quarantined: upstreams crashed while it was in progress"
         );
     }
-    for fingerprint in before.difference(&fingerprints(after)).take(CHANGES_TOLD) {
+    for fingerprint in before
+        .difference(&fingerprints(after))
+        .take(MAX_LOGGED_CHANGES)
+    {
         log::info!(
             fingerprint:% = fingerprint;
-            "request is no longer held back"
+            "request is no longer quarantined"
         );
     }
 }
--- a/crates/node/src/control/watch.rs
+++ b/crates/node/src/control/watch.rs
@@ -1,8 +1,8 @@
-//! Documents of operators that are followed in the store: the preset in force, the routing table
-//! and, together with it, the evacuated availability zones.
+//! Watches on the documents of operators in the store: the preset in force, the routing table and,
+//! together with it, the evacuated availability zones.
 //!
-//! The few nodes that use the store watch each document and read it beside the watch; all
-//! others learn of a change from them by exchange.
+//! The few nodes that use the store watch each document and also read it at intervals. All other
+//! nodes receive changes from them through exchanges.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,26 +16,26 @@
 
 use super::{Control, evacuations, persistence};
 
-/// How often a node looks whether it has begun to use the store.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
-/// The same while the routing table is not known: until then all callers are refused.
-const LOOK_FOR_ROUTES_EVERY: Duration = Duration::from_millis(20);
-/// Pause after a failed call: two fit into the time in which a change must be in force, and a
-/// store that is out is asked no more often than that.
-const AGAIN_AFTER: Duration = Duration::from_millis(600);
+/// Interval at which a node checks whether it has to follow the store.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// The same interval while the routing table is missing, since all callers are refused until then.
+const MISSING_ROUTES_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Delay after a failed call. Two of them fit into the time in which a change must be in force, and
+/// it limits the calls to a store that is down.
+const RETRY_DELAY: Duration = Duration::from_millis(600);
 
-/// What is followed.
+/// Kind of document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Preset,
     Routes,
 }
 
-/// Where a document lies.
+/// Location of a document in the store.
 struct Source {
     kind: Kind,
     key: String,
-    /// What is watched; where it is more than the key, all that begins with it is read.
+    /// Prefix of the watched keys. If it differs from the key, all items with this prefix are read.
     prefix: String,
 }
 
@@ -49,7 +49,7 @@
     follow(control, source).await;
 }
 
-/// Follows the routing table, if the settings name its key, and the evacuations with it.
+/// Follows the routing table, together with the evacuations, if the settings name its key.
 pub async fn routes(control: Rc<Control>) {
     let settings = &control.context.settings.routes;
     let Some(key) = settings.key.clone() else {
@@ -65,51 +65,51 @@
     follow(control, source).await;
 }
 
-/// The longest text that both begin with.
-fn common_prefix(one: &str, other: &str) -> String {
-    let pairs = one.chars().zip(other.chars());
-    pairs
-        .take_while(|(one, other)| one == other)
-        .map(|(one, _)| one)
-        .collect()
+/// Returns the longest common prefix of both texts.
+fn common_prefix(a: &str, b: &str) -> String {
+    let pairs = a.chars().zip(b.chars());
+    pairs.take_while(|(a, b)| a == b).map(|(a, _)| a).collect()
 }
 
 async fn follow(control: Rc<Control>, source: Source) {
     let kind = source.kind;
     let key = source.key.as_str();
-    let mut lost = false;
+    let mut is_failing = false;
     let mut stagger = Stagger::new(control.context.host());
     loop {
         if kind == Kind::Routes {
-            read_first(&control, &source).await;
+            read_routes_if_due(&control, &source).await;
         }
         if !control.follows_store(Instant::now()) {
             let pause = if control.snapshot().has_routes {
-                LOOK_EVERY
+                POLL_INTERVAL
             } else {
-                LOOK_FOR_ROUTES_EVERY
+                MISSING_ROUTES_POLL_INTERVAL
             };
             tokio::select! {
                 () = tokio::time::sleep(pause) => {}
-                () = control.reach.changed() => {}
+                () = control.store_health.role_changed() => {}
             }
             continue;
         }
-        let ended = read_and_watch(&control, &source, &mut stagger, &mut lost).await;
-        let Err(error) = ended else { continue };
-        control.reach.failed();
+        let result = read_and_watch(&control, &source, &mut stagger, &mut is_failing).await;
+        let Err(error) = result else { continue };
+        control.store_health.record_read_failure();
         if !matches!(error, Error::Compacted | Error::Cut) {
-            if !lost {
-                log::warn!(key = key, error:% = error; "store lost");
+            if !is_failing {
+                log::warn!(
+                    key = key, error:% = error;
+                    "failed to follow a document in the store, retrying"
+                );
             }
-            lost = true;
+            is_failing = true;
         }
-        tokio::time::sleep(AGAIN_AFTER).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// Reads the routing table once, if it is time to do without peers that have it.
-async fn read_first(control: &Rc<Control>, source: &Source) {
+/// Reads the routing table once if no peer has provided it in time.
+async fn read_routes_if_due(control: &Rc<Control>, source: &Source) {
     let now = Instant::now();
     let snapshot = control.snapshot();
     if !control
@@ -123,10 +123,10 @@
     let key = source.key.as_str();
     match read(control, source).await {
         Ok((Some(item), _)) => control.offer_routes("store", &item.value, None),
-        Ok((None, _)) => log::info!(key = key; "no routing table in the store yet"),
-        Err(error) => log::info!(key = key, error:% = error; "routing table not read"),
+        Ok((None, _)) => log::info!(key = key; "store does not contain a routing table yet"),
+        Err(error) => log::info!(key = key, error:% = error; "failed to read the routing table"),
     }
-    persistence::recall(control).await;
+    persistence::load(control).await;
     let now = Instant::now();
     control
         .state
@@ -135,7 +135,7 @@
         .schedule_routes_retry(now);
 }
 
-/// Reads the document, and what lies beside it under the prefix.
+/// Reads the document and, if the prefix covers more than its key, the evacuations.
 async fn read(control: &Control, source: &Source) -> Result<(Option<Item>, i64), Error> {
     control.context.metrics.store_call("read");
     if source.prefix == source.key {
@@ -145,83 +145,83 @@
         .store
         .list_from(&source.prefix, Freshness::Latest)
         .await?;
-    evacuations::listed(control, Instant::now(), &items, read_at);
+    evacuations::apply_listing(control, Instant::now(), &items, read_at);
     let document = items.into_iter().find(|item| item.key == source.key);
     Ok((document, read_at))
 }
 
 /// Reads the document, then watches it until the next read is due.
 ///
-/// Failure: a watch falls silent without breaking, or its answer is lost. Symptom: a change
-/// is in force nowhere. Silent connections are found by probes, and the watches of the few
-/// nodes that use the store end at different times: the next one brings what the others lost.
-/// Beside them the key is read at a rate that does not follow the size of the fleet.
+/// Failure: a watch stops delivering changes without failing, or its answer is lost. Symptom: a
+/// change comes into force on no node. Probes detect dead connections, and the watches of the few
+/// nodes that use the store end at different times, so the next one delivers what the others lost.
+/// The key is also read at intervals, at a rate that does not grow with the size of the fleet.
 ///
-/// Failure: the store leaves this node's calls unanswered for a while. Symptom: the watch that was
-/// open goes on and may have missed a change. Once the store answers again, all is read anew.
+/// Failure: the store does not answer this node's calls for a while. Symptom: a watch that stayed
+/// open may have missed a change. Once the store answers again, everything is read again.
 ///
-/// Failure: the store comes back from an older copy and gives revisions out again. Symptom: a
-/// watch that goes on from a revision of before never hears of what is written under a lower one.
-/// A revision is used within the epoch in which it was read; in a later one all is read anew.
+/// Failure: the store is restored from an older copy and assigns revisions again. Symptom: a watch
+/// that continues from an earlier revision never delivers changes with a lower one. A revision is
+/// only used within the epoch in which it was read; in a later epoch everything is read again.
 async fn read_and_watch(
     control: &Rc<Control>,
     source: &Source,
     stagger: &mut Stagger,
-    lost: &mut bool,
+    is_failing: &mut bool,
 ) -> Result<(), Error> {
     let settings = &control.context.settings.control;
     let (kind, key) = (source.kind, source.key.as_str());
-    let asked_at = Instant::now();
-    let (found, mut read_at) = read(control, source).await?;
+    let requested_at = Instant::now();
+    let (item, mut read_at) = read(control, source).await?;
     let epochs = control.store.epochs();
     let epoch = epochs.newest();
-    if std::mem::take(lost) {
-        log::info!(key = key, revision = read_at; "store regained");
-        control.store_regained.set(true);
+    if std::mem::take(is_failing) {
+        log::info!(key = key, revision = read_at; "document in the store can be read again");
+        control.store_recovered.set(true);
     }
-    control.heard(asked_at);
-    control.reach.answered(asked_at);
-    take_read(control, kind, found).await;
-    let read_again_at = asked_at + settings.store_read_every;
-    while Instant::now() < read_again_at && control.follows_store(Instant::now()) {
+    control.mark_refreshed(requested_at);
+    control.store_health.record_answer(requested_at);
+    apply_read(control, kind, item).await;
+    let next_read_at = requested_at + settings.store_read_every;
+    while Instant::now() < next_read_at && control.follows_store(Instant::now()) {
         control.context.metrics.store_call("watch");
         let wait = match kind {
-            Kind::Preset => read_again_at.saturating_duration_since(Instant::now()),
+            Kind::Preset => next_read_at.saturating_duration_since(Instant::now()),
             Kind::Routes => stagger.next(settings.watch_for),
         };
         let changes = tokio::select! {
             changes = control.store.changes(&source.prefix, read_at, wait) => changes?,
             () = epochs.risen_since(epoch) => return Ok(()),
-            () = control.reach.back() => return Ok(()),
+            () = control.store_health.recovered() => return Ok(()),
         };
         if epochs.has_risen_since(epoch) {
             return Ok(());
         }
         read_at = changes.read_at.max(read_at);
         for change in changes.changes {
-            evacuations::changed(control, &change);
+            evacuations::apply_change(control, &change);
             if let Change::Written(item) = change
                 && item.key == key
             {
-                take(control, kind, &item.value);
+                apply(control, kind, &item.value);
             }
         }
     }
     Ok(())
 }
 
-async fn take_read(control: &Rc<Control>, kind: Kind, found: Option<Item>) {
-    let revision = found.as_ref().map_or(0, |item| item.revision);
-    let stored = found.and_then(|item| take(control, kind, &item.value));
+async fn apply_read(control: &Rc<Control>, kind: Kind, item: Option<Item>) {
+    let revision = item.as_ref().map_or(0, |item| item.revision);
+    let stored = item.and_then(|item| apply(control, kind, &item.value));
     if kind == Kind::Preset {
-        bring_up_to_date(control, stored, revision).await;
+        restore_preset(control, stored, revision).await;
     }
 }
 
-/// Takes in a document; returns the revision of a preset.
-fn take(control: &Control, kind: Kind, value: &[u8]) -> Option<Revision> {
+/// Applies a document; returns its revision if it is a valid preset.
+fn apply(control: &Control, kind: Kind, value: &[u8]) -> Option<Revision> {
     match kind {
-        Kind::Preset => take_preset(control, value),
+        Kind::Preset => apply_preset(control, value),
         Kind::Routes => {
             control.offer_routes("store", value, None);
             None
@@ -229,7 +229,7 @@
     }
 }
 
-fn take_preset(control: &Control, value: &[u8]) -> Option<Revision> {
+fn apply_preset(control: &Control, value: &[u8]) -> Option<Revision> {
     match presets::parse_in_force(value) {
         Ok(document) => {
             let revision = document.revision;
@@ -238,19 +238,22 @@
         }
         Err(error) => {
             control.context.metrics.bad_input("store-value");
-            log::warn!(error:% = error; "the preset in force stays");
+            log::warn!(
+                error:% = error;
+                "invalid preset in the store; the current one stays in force"
+            );
             None
         }
     }
 }
 
-/// Puts back what is in force into a store that holds something older, or nothing of use.
+/// Writes the preset in force back to a store that contains an older, invalid or no preset.
 ///
-/// Failure: the store comes back from before. Symptom: an operator's change is accepted
-/// under a revision that nodes have passed, and they ignore it. The swap is bound to what
-/// was read, so it undoes no change that came in between, and a store that merely answers
-/// from before refuses it.
-async fn bring_up_to_date(control: &Rc<Control>, stored: Option<Revision>, store_revision: i64) {
+/// Failure: the store is restored from an older copy. Symptom: an operator's change is accepted
+/// under a revision that is not newer than the preset in force on the nodes, so they ignore it.
+/// The swap is conditional on the revision that was read. It therefore overwrites no concurrent
+/// change, and a store that merely returned stale data rejects it.
+async fn restore_preset(control: &Rc<Control>, stored: Option<Revision>, store_revision: i64) {
     let current = Arc::clone(control.state.borrow().register.current());
     if stored.unwrap_or_default() >= current.revision {
         return;
@@ -259,9 +262,12 @@
     match presets::restore(&control.store, &current, store_revision).await {
         Ok(true) => {
             let revision = current.revision.0;
-            log::warn!(revision = revision; "the store held an older preset; put back");
+            log::warn!(
+                revision = revision;
+                "store contained an older preset; the one in force was written back"
+            );
         }
-        Ok(false) => log::debug!("the store holds something newer than it answered"),
-        Err(error) => log::info!(error:% = error; "older preset in the store stays"),
+        Ok(false) => log::debug!("store contains a newer preset than it returned"),
+        Err(error) => log::info!(error:% = error; "failed to restore the preset in the store"),
     }
 }
