--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -145,10 +145,10 @@
 
     /// Records a load report of the upstream; returns whether the known slowness changed.
     pub fn observe_load(&mut self, now: Instant, load: &Upstream) -> bool {
-        let before = self.pace.percent(&self.settings, now);
+        let before = self.pace.reported_percent(&self.settings, now);
         self.pace
             .observe(&self.settings, now, load.slowness_percent);
-        before != self.pace.percent(&self.settings, now)
+        before != self.pace.reported_percent(&self.settings, now)
     }
 
     /// Resets what was learned about the upstream after it restarted. A new instance is cold, so
@@ -312,7 +312,7 @@
             queued: saturating_u32(self.queue.len()),
             limit: limit::whole_requests(self.capacity(now)),
             service_micros: saturating_u32(self.times.mean().as_micros()),
-            slowness_percent: self.pace.percent(&self.settings, now),
+            slowness_percent: self.pace.reported_percent(&self.settings, now),
         }
     }
 
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -80,7 +80,7 @@
     pub state: State,
     /// Upstream beside the node, while announced.
     pub upstream: Option<Upstream>,
-    /// Whether the node can decode packed records.
+    /// Whether the node can decode compressed records.
     #[serde(default)]
     pub packs: bool,
 }
@@ -182,7 +182,7 @@
         self.others().any(Record::is_present)
     }
 
-    /// Whether the node at this control address is known to decode packed records.
+    /// Whether the node at this control address is known to decode compressed records.
     #[must_use]
     pub fn reads_packed(&self, control_address: SocketAddr) -> bool {
         let mut others = self.others();
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Marks a peer as suspect that answered neither directly nor through other nodes;
+    /// Marks a peer that answered neither directly nor through other nodes as suspect;
     /// `confirmed` is true if at least one of those reported that it could not reach the peer.
     ///
     /// Failure: this node is cut off from the network. Symptom: it considers all other hosts
@@ -287,7 +287,7 @@
             .map(|(host, _)| Arc::clone(host))
             .collect();
         for host in &due {
-            self.advance(now, host);
+            self.apply_transition(now, host);
         }
         !due.is_empty()
     }
@@ -313,7 +313,7 @@
         None
     }
 
-    /// Returns peers to ask about `target`, which did not answer.
+    /// Returns the peers to ask for a probe of `target`, which did not answer.
     pub fn relays(&mut self, target: &str) -> Vec<Record> {
         let relays = self.settings.relays;
         self.sample(relays, target)
@@ -414,7 +414,7 @@
     /// Raises the version of this node's own record above that of a record about it received
     /// from a peer, if that one supersedes the own record; returns true if it did.
     ///
-    /// Failure: a frozen process resumes, or is replaced by one whose clock is behind. Symptom:
+    /// Failure: a paused process resumes, or is replaced by one whose clock is behind. Symptom:
     /// peers have a record that it is dead or one with a later version, and ignore its updates.
     /// The higher version makes peers accept its record again.
     fn refute(&mut self, record: &Record) -> bool {
@@ -429,7 +429,8 @@
         true
     }
 
-    fn advance(&mut self, now: Instant, host: &Arc<str>) {
+    /// Marks a host as dead whose suspicion has expired, or removes a dead or departed one.
+    fn apply_transition(&mut self, now: Instant, host: &Arc<str>) {
         let transition_at = self.next_transition_at(now, State::Dead);
         let Some(entry) = self.others.get_mut(host) else {
             return;
--- a/crates/core/src/pace.rs
+++ b/crates/core/src/pace.rs
@@ -5,6 +5,9 @@
 //! the speed relative to the host's own baseline: a host that is cold after a start, or has
 //! permanent noisy neighbours, is slower than others, but waiting does not help. A slow phase that
 //! lasts much longer than usual therefore becomes the new baseline.
+//!
+//! The upstream reports its host's pace as slowness: the time that work currently takes, in percent
+//! of the usual time.
 
 use std::time::{Duration, Instant};
 
@@ -31,10 +34,10 @@
 /// The last report of the upstream.
 #[derive(Clone, Copy, Debug)]
 struct Observation {
-    /// Reported time that work takes, in percent of the usual.
-    percent: u32,
+    /// Reported time that work takes, in percent of the usual time.
+    reported_percent: u32,
     at: Instant,
-    /// Percentage reported while the host is not in a slow phase.
+    /// Slowness reported while the host is not in a slow phase.
     baseline_percent: u32,
     /// Start of the slow phase that the host is in, if any.
     slow_since: Option<Instant>,
@@ -51,7 +54,7 @@
     ) -> Self {
         let baseline_percent = previous.map_or(MAX_COLD_PERCENT, |last| last.baseline_percent);
         let observation = Self {
-            percent,
+            reported_percent: percent,
             at: now,
             baseline_percent: baseline_percent.min(percent),
             slow_since: None,
@@ -74,13 +77,12 @@
 
     /// Returns the time that work takes, in percent of the baseline.
     fn relative_percent(&self) -> u32 {
-        self.percent.saturating_mul(100) / self.baseline_percent.max(1)
+        self.reported_percent.saturating_mul(100) / self.baseline_percent.max(1)
     }
 }
 
 impl Pace {
-    /// Records how long work takes on the host, in percent, as reported by the upstream; `None` if
-    /// it reports no speed.
+    /// Records the slowness in percent that the upstream reports; `None` if it does not report it.
     pub fn observe(&mut self, settings: &Settings, now: Instant, percent: Option<u32>) {
         let max_slow_phase = settings.slow_phase * MAX_SLOW_PHASES;
         self.latest = percent
@@ -94,11 +96,11 @@
             .is_some_and(|latest| now < latest.at + settings.pace_fresh)
     }
 
-    /// Returns the reported time that work takes, in percent; 0 if there is no unexpired report.
+    /// Returns the reported slowness in percent; 0 if there is no unexpired report.
     #[must_use]
-    pub fn percent(&self, settings: &Settings, now: Instant) -> u32 {
+    pub fn reported_percent(&self, settings: &Settings, now: Instant) -> u32 {
         self.unexpired(settings, now)
-            .map_or(0, |latest| latest.percent)
+            .map_or(0, |latest| latest.reported_percent)
     }
 
     /// Returns how long work takes, in percent of the host's baseline, if the host is in a slow
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -2,9 +2,10 @@
 //!
 //! The load of every upstream is counted by the node beside it and attached to answers that are
 //! sent anyway, so a load report is stale on arrival. The reported load has two parts: this node's
-//! own requests, which it counts exactly at any moment, and those of other nodes, which turn over
-//! within one service time. The other nodes' part is therefore trusted while the report is fresh
-//! and decays to the mean of the compared candidates as it ages; its own part is never estimated.
+//! own requests, which it counts exactly at any moment, and those of other nodes, which finish and
+//! are replaced by others within one service time. The other nodes' part is therefore used as
+//! reported while the report is fresh, and decays to the mean of the compared candidates as the
+//! report ages; this node's own part is never estimated.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -136,10 +137,10 @@
     pub fn pick(&mut self, now: Instant, service: &str, tried: &[Arc<str>]) -> Option<Arc<str>> {
         let candidates = self.services.get_mut(service)?;
         let compared = sample(&self.settings, &mut self.rng, candidates, now, tried);
-        let peers = Peers::of(candidates, &compared);
+        let averages = Averages::of(candidates, &compared);
         let mut best: Option<(usize, f64)> = None;
         for index in compared {
-            let cost = expected_cost(&self.settings, &candidates[index], &peers, now);
+            let cost = expected_cost(&self.settings, &candidates[index], &averages, now);
             if best.is_none_or(|(_, best_cost)| cost < best_cost) {
                 best = Some((index, cost));
             }
@@ -289,14 +290,14 @@
 }
 
 /// Averages over the compared candidates.
-struct Peers {
+struct Averages {
     /// Mean number of other nodes' requests.
     mean_others_load: f64,
     /// Median service time, in seconds.
     median_service_time: f64,
 }
 
-impl Peers {
+impl Averages {
     fn of(candidates: &[Candidate], compared: &[usize]) -> Self {
         let count = f64::from(u32::try_from(compared.len().max(1)).unwrap_or(u32::MAX));
         let others_load: f64 = compared
@@ -321,11 +322,16 @@
 
 /// Returns the expected time until the answer, in seconds, with a mild preference for emptier
 /// upstreams among those with free slots.
-fn expected_cost(settings: &Settings, candidate: &Candidate, peers: &Peers, now: Instant) -> f64 {
+fn expected_cost(
+    settings: &Settings,
+    candidate: &Candidate,
+    averages: &Averages,
+    now: Instant,
+) -> f64 {
     let age = now.duration_since(candidate.reported_at);
-    let service_time = expected_service_time(settings, candidate, peers, age);
+    let service_time = expected_service_time(settings, candidate, averages, age);
     let limit = f64::from(candidate.report.limit.max(1));
-    let load = expected_load(candidate, peers, age);
+    let load = expected_load(candidate, averages, age);
     let wait = (load + 1.0 - limit).max(0.0) / limit * service_time;
     let fill_cost = settings.spread * service_time * load / limit;
     let zone_cost = if candidate.upstream.same_zone {
@@ -347,17 +353,17 @@
 /// Returns the expected time of a request in the upstream, in seconds.
 ///
 /// Reported means differ by chance, and following every difference sends the traffic of all nodes
-/// to the host with the luckiest last report. Only a straggler, slower than the median of its peers
+/// to the host with the lowest last report. Only a straggler, slower than the median of its peers
 /// by a clear factor, counts as slower, and the difference decays with the age of its report, so
 /// that an occasional request finds out whether the host has recovered.
 fn expected_service_time(
     settings: &Settings,
     candidate: &Candidate,
-    peers: &Peers,
+    averages: &Averages,
     age: Duration,
 ) -> f64 {
     let reported = seconds(candidate.report.service_micros);
-    let median = peers.median_service_time;
+    let median = averages.median_service_time;
     let decay = (-age.as_secs_f64() / settings.straggler_fades.as_secs_f64()).exp();
     let decayed = median + (reported - median) * decay;
     if decayed > median * settings.straggler_factor {
@@ -398,11 +404,11 @@
 /// Failure: several nodes see the same report of a low load and all choose that host. Symptom: one
 /// host at a time is overloaded. This node's own requests count immediately, and the reported
 /// requests of other nodes count for no longer than they take to turn over.
-fn expected_load(candidate: &Candidate, peers: &Peers, age: Duration) -> f64 {
-    let turnover = peers.median_service_time.max(1e-6);
+fn expected_load(candidate: &Candidate, averages: &Averages, age: Duration) -> f64 {
+    let turnover = averages.median_service_time.max(1e-6);
     let freshness = (-age.as_secs_f64() / turnover).exp();
     let others_load =
-        candidate.others_load * freshness + peers.mean_others_load * (1.0 - freshness);
+        candidate.others_load * freshness + averages.mean_others_load * (1.0 - freshness);
     others_load + f64::from(candidate.outstanding)
 }
 
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -5,12 +5,12 @@
 use crate::configs::retry::Settings;
 use crate::outcome::{Outcome, Refusal};
 
-/// How far an attempt got, as far as the node that the caller spoke to can tell.
+/// How far an attempt got, as far as the entry node can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// No byte of the request was sent by this node.
     NeverSent,
-    /// The node beside the upstream replied that it did not hand the request over.
+    /// The node beside the upstream replied that it did not send the request to it.
     NotHandedOver,
     /// The request was sent, and it is not known whether it ran.
     MayHaveRun,
@@ -58,7 +58,7 @@
 
     /// Returns whether a further attempt may be made, and spends its token if so.
     ///
-    /// `attempts` counts those already made. An unrepeatable request is retried only if it
+    /// `attempts` counts those already made. A non-idempotent request is retried only if it
     /// certainly did not run.
     pub fn may_retry(
         &mut self,
@@ -66,12 +66,12 @@
         deadline: Instant,
         attempts: u32,
         progress: Progress,
-        repeatable: bool,
+        idempotent: bool,
     ) -> bool {
         if attempts >= self.settings.attempts || now >= deadline {
             return false;
         }
-        if progress == Progress::MayHaveRun && !repeatable {
+        if progress == Progress::MayHaveRun && !idempotent {
             return false;
         }
         if self.tokens < 1.0 {
--- a/crates/core/tests/failover.rs
+++ b/crates/core/tests/failover.rs
@@ -117,7 +117,7 @@
     }
 }
 
-fn someone_reads(nodes: &[Node]) -> bool {
+fn has_reader(nodes: &[Node]) -> bool {
     nodes
         .iter()
         .any(|node| node.reads && node.condition == Condition::Healthy)
@@ -141,7 +141,7 @@
         for node in &mut zone.nodes[..failed] {
             node.condition = condition;
         }
-        let read = zone.run(READ_TIMEOUT, someone_reads);
+        let read = zone.run(READ_TIMEOUT, has_reader);
         assert!(read, "seed {seed}");
     }
 }
@@ -187,7 +187,7 @@
     zone.nodes[1].condition = Condition::Unanswered;
     zone.run(Duration::from_secs(4), |_| false);
     assert_eq!(zone.readers(), [2]);
-    assert!(!zone.run(Duration::from_secs(10), |nodes| !someone_reads(nodes)));
+    assert!(!zone.run(Duration::from_secs(10), |nodes| !has_reader(nodes)));
     zone.nodes[0].condition = Condition::Healthy;
     zone.run(Duration::from_secs(2), |_| false);
     assert_eq!(zone.readers(), [0]);
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -185,7 +185,7 @@
         match self.admission.arrive(self.now, arrival, 1.0) {
             Decision::Admit => self.start(id),
             Decision::Queue => {}
-            Decision::Refuse(refusal) => self.refused(id, refusal.retry_at),
+            Decision::Refuse(refusal) => self.record_refusal(id, refusal.retry_at),
         }
         self.apply_actions();
     }
@@ -194,7 +194,7 @@
         while let Some(action) = self.admission.poll(self.now) {
             match action {
                 Action::Admit(id) => self.start(id),
-                Action::Refuse(id, refusal) => self.refused(id, refusal.retry_at),
+                Action::Refuse(id, refusal) => self.record_refusal(id, refusal.retry_at),
             }
         }
     }
@@ -205,7 +205,7 @@
         attempt.finishes_at = Some(self.now + attempt.kind.service_time.mul_f64(variation));
     }
 
-    fn refused(&mut self, id: Id, retry_at: Instant) {
+    fn record_refusal(&mut self, id: Id, retry_at: Instant) {
         let attempt = self.attempts.remove(&id).expect("it arrived");
         let stats = self.stats.entry(attempt.kind.route).or_default();
         stats.refused += 1;
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -7,20 +7,20 @@
 use rstest::rstest;
 
 #[rstest]
-#[case::never_sent_unrepeatable(Progress::NeverSent, false, true)]
-#[case::not_handed_over_unrepeatable(Progress::NotHandedOver, false, true)]
-#[case::may_have_run_unrepeatable(Progress::MayHaveRun, false, false)]
-#[case::may_have_run_repeatable(Progress::MayHaveRun, true, true)]
-fn may_retry_never_runs_an_unrepeatable_request_twice(
+#[case::never_sent_non_idempotent(Progress::NeverSent, false, true)]
+#[case::not_handed_over_non_idempotent(Progress::NotHandedOver, false, true)]
+#[case::may_have_run_non_idempotent(Progress::MayHaveRun, false, false)]
+#[case::may_have_run_idempotent(Progress::MayHaveRun, true, true)]
+fn may_retry_never_runs_a_non_idempotent_request_twice(
     #[case] progress: Progress,
-    #[case] repeatable: bool,
+    #[case] idempotent: bool,
     #[case] allowed: bool,
 ) {
     let now = Instant::now();
     let mut budget = Budget::new(Settings::default(), 0.1);
     let deadline = now + Duration::from_secs(1);
     assert_eq!(
-        budget.may_retry(now, deadline, 1, progress, repeatable),
+        budget.may_retry(now, deadline, 1, progress, idempotent),
         allowed
     );
 }
