--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -20,7 +20,7 @@
     tried: Vec<Arc<str>>,
     /// Hosts among `tried` that refused only because their answer would have been late.
     refused_late: Vec<Arc<str>>,
-    /// Placements so far, whatever their result.
+    /// Number of hosts asked so far, whatever their answer.
     placements: u32,
     /// Upstreams that received the request, or may have.
     handovers: u32,
--- a/crates/core/src/bootstrap.rs
+++ b/crates/core/src/bootstrap.rs
@@ -3,11 +3,11 @@
 //! Load pattern: hundreds of nodes start within a third of a second, for the first time or after
 //! a power loss of the whole fleet, and every day some are replaced one by one. If each node asks
 //! the store for peers, routing table and preset, and considers itself a designated reader of the
-//! store until it knows better, a start costs seven calls a node: some 2,000 for one start of a
-//! fleet of 300, ten times what its designated readers send in 40 seconds. Nodes therefore contact
-//! peers first: the hosts named in the settings, and the peers found through them also provide the
-//! routing table. Where no host is named, a few nodes go ahead and the others find them with a
-//! possibly stale read, which costs a tenth of a call.
+//! store until it learns of other nodes, a start costs seven calls a node: some 2,000 for one start
+//! of a fleet of 300, ten times what its designated readers send in 40 seconds. Nodes therefore
+//! contact peers first: the hosts named in the settings, and the peers found through them also
+//! provide the routing table. Where no host is named, a few nodes use the store first and the
+//! others find them there with a possibly stale read, which costs a tenth of a call.
 
 use std::hash::{Hash, Hasher};
 use std::time::{Duration, Instant};
@@ -52,8 +52,8 @@
     pub is_designated_reader: bool,
 }
 
-/// Role of a node in reading documents: the reason why it follows them in the store, or that it
-/// receives them from peers.
+/// Whether a node receives changes of documents, such as the routing table, from its peers, or
+/// watches the documents in the store, and why.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
     /// The node receives changes from peers.
@@ -63,8 +63,8 @@
     Reader,
     /// The node has had no contact with any peer for the isolation timeout and may be cut off.
     Isolated,
-    /// The readers of the zone do not report that the store answers them, while it answers this
-    /// node.
+    /// The node acts in place of the designated readers of its zone: they do not report that the
+    /// store answers them, while it answers this node. Decided by [`crate::failover`].
     ActingReader,
 }
 
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Returns the node's role: whether and why it follows documents in the store and keeps an
-    /// entry there.
+    /// Returns the node's role: whether and why it watches documents in the store and keeps an
+    /// entry there. Never returns [`Role::ActingReader`].
     #[must_use]
     pub fn role(&self, now: Instant, snapshot: Snapshot) -> Role {
         if snapshot.is_designated_reader && self.is_settled(now) {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Whether the node follows documents in the store and keeps an entry there.
+    /// Whether the node watches documents in the store and keeps an entry there.
     #[must_use]
     pub fn follows_store(&self, now: Instant, snapshot: Snapshot) -> bool {
         self.role(now, snapshot) != Role::Member
@@ -168,7 +168,8 @@
         now > last_contact_at + self.isolated_after
     }
 
-    /// Whether the node reads the routing table from the store, since no peer has provided it.
+    /// Whether the node must read the routing table from the store now, since no peer has provided
+    /// it.
     #[must_use]
     pub fn is_routes_read_due(&self, now: Instant, snapshot: Snapshot) -> bool {
         !snapshot.has_routes && now >= self.routes_read_at
@@ -179,7 +180,8 @@
         self.routes_read_at = now + ROUTES_RETRY_DELAY;
     }
 
-    /// Whether the node looks for other nodes in the store, since it knows no peer.
+    /// Whether the node must read the entries of other nodes in the store now, since it knows no
+    /// peer.
     #[must_use]
     pub fn is_discovery_due(&self, now: Instant, snapshot: Snapshot) -> bool {
         !snapshot.has_peers && now >= self.discovery_at
@@ -197,8 +199,8 @@
     }
 }
 
-/// Returns the step after a read that found `others` entries; `latest` is false if the read could
-/// be stale.
+/// Returns the step after a read that found `others` entries of other nodes; `latest` is false if
+/// the read could be stale.
 #[must_use]
 pub const fn next_step(latest: bool, others: usize) -> Step {
     match (others, latest) {
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -11,8 +11,8 @@
 //!
 //! A store that is restored from an older copy has lost its newest claims. The node that was
 //! granted a claim remembers it for as long as a copy may be old and writes it again. Until all
-//! nodes have had time to do so nothing is granted, because a key that looks free may be one whose
-//! claim was lost.
+//! nodes have had time to do so nothing is granted, because the claim of a key that the store does
+//! not contain may have been lost.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -166,7 +166,7 @@
 
     /// Handles a restore of the store from an older copy.
     ///
-    /// Failure: the store loses a claim whose request ran. Symptom: the key looks free, and a
+    /// Failure: the store loses a claim whose request ran. Symptom: the key is free again, and a
     /// retry of the request runs a second time. Claims granted to this node within the maximum age
     /// of a copy are written again, and nothing is granted until every node has had time to detect
     /// the restore and do the same.
--- a/crates/core/src/configs/bootstrap.rs
+++ b/crates/core/src/configs/bootstrap.rs
@@ -22,8 +22,8 @@
     /// few of them early. The first start of a fleet takes this long.
     #[serde(with = "humantime_serde")]
     pub start_spread: Duration,
-    /// Time after its start before a node may act as a designated reader of the store. Until
-    /// then it does not know the other nodes of its zone that come before it.
+    /// Time after its start before a node may act as a designated reader of the store. Until then
+    /// it does not know the nodes of its zone that precede it in the order that designates readers.
     #[serde(with = "humantime_serde")]
     pub settled_after: Duration,
 }
--- a/crates/core/src/configs/health.rs
+++ b/crates/core/src/configs/health.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Consecutive failures after which the upstream is doubtful.
+    /// Consecutive failures after which the upstream is doubtful: it gets probes but no requests.
     pub failures_until_doubtful: u32,
     /// A refusal by the upstream counts as a failure only if it takes less than this share of the
     /// mean service time.
--- a/crates/core/src/configs/membership.rs
+++ b/crates/core/src/configs/membership.rs
@@ -28,7 +28,8 @@
     /// Number of times a record is retransmitted, as a multiple of the logarithm of the number of
     /// members. At 1, a node in a fleet of 510 receives a change from ten others on average.
     pub news_rounds: u32,
-    /// Number of nodes in each availability zone that watch the store and keep an entry in it.
+    /// Number of designated readers in each availability zone: the nodes that watch the store and
+    /// keep an entry in it.
     pub holders_per_zone: usize,
 }
 
--- a/crates/core/src/configs/placement.rs
+++ b/crates/core/src/configs/placement.rs
@@ -12,7 +12,7 @@
     /// of the traffic between them.
     #[serde(with = "humantime_serde")]
     pub zone_cost: Duration,
-    /// Assumed time of a request in an upstream that has not reported its load yet.
+    /// Assumed service time of an upstream that has not reported its load yet.
     #[serde(with = "humantime_serde")]
     pub service_time_initial: Duration,
     /// Cost of an upstream whose slots are all taken over that of an empty one, in service times;
@@ -30,13 +30,13 @@
     pub slow_phase: Duration,
     /// Expected share of the time that a host is in a slow phase, 0 to 1.
     pub slow_share: f64,
-    /// Expected time of work on a slow host, in percent of the usual time.
+    /// Expected service time on a host in a slow phase, in percent of the usual one.
     pub slow_percent: u32,
     /// Time over which the share of a host that has just joined grows to its full share.
     #[serde(with = "humantime_serde")]
     pub ramp: Duration,
-    /// How long a host that refused a request or lost its link is chosen only if all others are
-    /// worse.
+    /// How long a host that refused a request, or whose connection broke, is chosen only if all
+    /// others are worse.
     #[serde(with = "humantime_serde")]
     pub avoid_for: Duration,
     /// Number of candidates compared for one request, sampled at random when there are more.
--- a/crates/core/src/configs/quarantine.rs
+++ b/crates/core/src/configs/quarantine.rs
@@ -9,11 +9,12 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
     /// Minimum number of upstream crashes before a request is quarantined. Every request in
-    /// progress at a crash has one, and a request that was retried may have two; a third that no
-    /// other request explains is rarely chance.
+    /// progress at a crash has one, and a request that was retried may have two; a third
+    /// crash that no other request explains is rarely a coincidence.
     pub ends_least: usize,
-    /// Time from the start of the quarantine to the first trial. By then crashed upstreams have
-    /// restarted, and callers that retry within seconds have given up.
+    /// Time from the start of the quarantine to the first trial, which sends the request to one
+    /// upstream. By then crashed upstreams have restarted, and callers that retry within seconds
+    /// have given up.
     #[serde(with = "humantime_serde")]
     pub trial_after: Duration,
     /// Time from the first trial to the second; it doubles for each later trial.
--- a/crates/core/src/evacuation.rs
+++ b/crates/core/src/evacuation.rs
@@ -22,7 +22,7 @@
 /// Version of a zone's state: the position in the store's history at which it was set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Stamp {
-    /// Epoch of the store; 0 if the store reports none.
+    /// Number of times that the store was restored from an older copy; 0 if it reports none.
     pub epoch: u64,
     /// Revision of the store within that epoch.
     pub revision: i64,
@@ -55,7 +55,7 @@
 }
 
 impl Register {
-    /// Merges zones received from another node or a change in the store; returns whether a zone was
+    /// Merges zones from another node or from a change in the store; returns whether a zone was
     /// added or changed between evacuated and not evacuated.
     pub fn merge(&mut self, zones: impl IntoIterator<Item = Zone>) -> bool {
         let mut changed = false;
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -46,8 +46,8 @@
     /// Records the result of a request.
     ///
     /// Failure: an upstream that fails fast looks idle. Symptom: it attracts most of the traffic
-    /// and fails it. After a few consecutive failures no requests are handed over, and only probes
-    /// within their budget reach the upstream.
+    /// and fails it. After a few consecutive failures no requests are sent to the upstream, only
+    /// probes within their budget.
     pub fn record(&mut self, now: Instant, verdict: Verdict) {
         match (&mut self.state, verdict) {
             (State::Ready { failures }, Verdict::Answered) => *failures = 0,
@@ -85,7 +85,7 @@
         is_overdue.then_some(Verdict::Failed)
     }
 
-    /// Whether requests may be handed over to the upstream.
+    /// Whether requests may be sent to the upstream.
     #[must_use]
     pub const fn is_ready(&self) -> bool {
         matches!(self.state, State::Ready { .. })
--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Maximum number of ended incarnations remembered. Each restart of the upstream adds one, and
+/// Maximum number of previous incarnations remembered. Each restart of the upstream adds one, and
 /// messages are late by seconds only, so a few would suffice.
 const MAX_PREDECESSORS: usize = 32;
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,21 +5,32 @@
 //! of its `poll`. The same code runs on the node's threads, in scripted tests and in the policy
 //! benchmark.
 //!
+//! Each host of the fleet runs a node beside an upstream, which is an instance of a service. The
+//! node to which a caller sends a request is its entry node: it chooses a host and forwards the
+//! request to the node beside that host's upstream, which sends it to the upstream. The store is an
+//! external key-value store. Usually only a few designated readers in each availability zone watch
+//! the operators' documents there, such as the routing table; other nodes receive changes from
+//! peers.
+//!
 //! A request passes through the modules in this order:
 //!
 //! | step | module |
 //! |---|---|
-//! | which host gets it? | [`placement`] |
+//! | which service gets it? | [`route`] |
+//! | which host gets it? | [`placement`], from each host's [`load`] |
 //! | may it be retried on another host? | [`attempts`], [`retry`] |
 //! | does it run now or wait, and in which order? | [`admission`] with [`queue`], [`shares`], [`work`], [`pace`], [`limit`] and [`warm_up`]; [`gate`] and [`health`] can refuse it |
 //! | was its idempotency key used before? | [`claim`] |
-//! | did upstreams end while they ran it? | [`screen`], from the decisions of [`quarantine`] by [`fingerprint`] and by which requests were [`answered`] |
+//! | did upstreams crash while they ran it? | [`screen`], from the decisions of [`quarantine`] by [`fingerprint`] and by which requests were [`answered`] |
 //! | what does the caller receive if no upstream answers? | [`outcome`] |
 //!
 //! Modules outside the request path: [`membership`] (which hosts are present), [`preset`] (the
-//! preset in force), [`evacuation`] (which zones get no new requests), [`bootstrap`] (when a starting
-//! or isolated node reads the store), [`failover`] (which nodes read the store when its regular
-//! readers do not) and [`probe`] (the budget for probes).
+//! preset in force), [`evacuation`] (which zones get no new requests), [`bootstrap`] (when a
+//! starting or isolated node reads the store), [`failover`] (which nodes read the store when its
+//! designated readers cannot), [`stagger`] (delays between calls to an unavailable store),
+//! [`instance`] (which incarnation of the upstream is running), [`recipients`] (which nodes receive
+//! load reports between responses), [`probe`] (the budget for probes) and [`quota`] (the rate limit
+//! for log lines).
 
 pub mod admission;
 pub mod answered;
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -43,7 +43,7 @@
     Doubtful,
     /// The upstream has not announced itself, or its last announcement has expired.
     Unannounced,
-    /// The node was suspended and has not exchanged state with other nodes since.
+    /// The node was paused and has not received up-to-date state from a peer or the store since.
     Stale,
     /// No host offers the service.
     NoUpstream,
--- a/crates/core/src/preset.rs
+++ b/crates/core/src/preset.rs
@@ -12,7 +12,7 @@
 /// slow phase of a few hundred milliseconds. With fewer probes slow phases go undetected, and
 /// requests that start in one occupy their slot for a long time.
 const DEFAULT_PROBE_SHARE: f64 = 0.02;
-/// Maximum share of traffic that a preset may grant to second attempts.
+/// Maximum share of traffic that a preset may grant to retries.
 const MAX_RETRY_SHARE: f64 = 0.5;
 /// Maximum weight of a client account.
 const MAX_WEIGHT: f64 = 1000.0;
@@ -23,7 +23,7 @@
 pub struct Preset {
     /// Share of upstream time that probes may use, 0 to 0.05.
     pub probe_share: f64,
-    /// Second attempts per answered request, 0 to 0.5.
+    /// Retries per answered request, 0 to 0.5.
     pub retry_share: f64,
     /// Client accounts with a weight other than 1.
     pub client_accounts: BTreeMap<Arc<str>, ClientAccount>,
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClientAccount {
-    /// Share of a full upstream relative to other client accounts, above 0 to 1000.
+    /// Weight in the fair queue of an upstream relative to other client accounts, above 0 to 1000.
     pub weight: f64,
 }
 
--- a/crates/core/src/probe.rs
+++ b/crates/core/src/probe.rs
@@ -21,7 +21,7 @@
 
 /// Upstream time reserved for one probe; refunded in part by [`Budget::refund`].
 #[derive(Debug)]
-#[must_use = "an unsettled reservation is spent in full"]
+#[must_use = "a reservation that is not refunded is spent in full"]
 pub struct Reservation {
     reserved: Duration,
 }
@@ -75,7 +75,7 @@
 
     /// Refunds the part of a reservation that a finished probe did not use. Each probe is charged
     /// with at least the minimum cost, since the upstream's work on a probe is not limited to the
-    /// time that the prober waits for the answer.
+    /// time that the node waits for the answer.
     pub fn refund(&mut self, reservation: &Reservation, used: Duration) {
         let used = used.max(self.settings.cost_least);
         let unused = reservation.reserved.saturating_sub(used);
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -2,8 +2,8 @@
 //!
 //! Load pattern: one request crashes every upstream that starts to run it, together with all other
 //! requests in progress there. Its caller retries it several times a second, through any node and
-//! under a new id each time. Placed like any other request, it takes down the upstreams of a
-//! service one after the other, those that restarted first.
+//! under a new id each time. Placed like any other request, it crashes the upstreams of a service
+//! one after the other, beginning with those that have restarted.
 //!
 //! The evidence is a [`Crash`]: an upstream crashed while certain requests were in progress. Only
 //! the node beside that upstream observes it, so nodes gossip crashes, and sets of crashes merge in
@@ -14,9 +14,9 @@
 //! requests explain the crashes equally well, those that were ever answered are not blamed if
 //! another one never was.
 //!
-//! One node tries a quarantined request from time to time. So a request that was blamed by chance,
-//! or whose upstreams have been fixed, is not refused forever, and one that still crashes upstreams
-//! crashes only a few.
+//! From time to time one node sends a quarantined request to its upstream as a trial. A request
+//! that was quarantined by chance, or whose upstreams have been fixed, is therefore not refused
+//! forever, and one that still crashes upstreams crashes only a few.
 //!
 //! [`ends_least`]: crate::configs::quarantine::Settings::ends_least
 
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -18,7 +18,7 @@
     pub deadline: Instant,
     /// An answer after this instant is worth less to the caller; never later than the deadline.
     pub target: Instant,
-    /// Rank; 0 is the most urgent.
+    /// Priority of the route, which is the rank of the request in the queue; 0 is the most urgent.
     pub priority: u8,
     /// Route of the request; requests of one route do the same work.
     pub route: Arc<str>,
--- a/crates/core/src/screen.rs
+++ b/crates/core/src/screen.rs
@@ -1,7 +1,7 @@
 //! Snapshot of the suspect requests that one node knows.
 //!
-//! [`crate::quarantine`] creates it; the entry and the node beside the upstream look up each
-//! request in it.
+//! [`crate::quarantine`] creates it; the entry node and the node beside the upstream check each
+//! request against it.
 
 use std::collections::HashMap;
 use std::time::Instant;
--- a/crates/core/src/warm_up.rs
+++ b/crates/core/src/warm_up.rs
@@ -7,9 +7,9 @@
 //! ends early and frees its slot.
 //!
 //! Starts are therefore counted over a sliding window of one second. A warm upstream may turn cold
-//! at any moment and reports that only when it is checked. Until it confirms that it is warm,
-//! requests started since the last confirmation are bounded as well; the next check is sent long
-//! before that bound is reached.
+//! at any moment and reports that only in its answer to a check, a probe that asks for it. Until it
+//! confirms that it is warm, requests started since the last confirmation are bounded as well; the
+//! next check is sent long before that bound is reached.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -61,7 +61,7 @@
         self.rate = rate.or(self.settings.requests_per_second);
     }
 
-    /// Records how much longer the upstream stays cold, as answered to a check sent at `asked_at`.
+    /// Records the answer to a check sent at `asked_at`: how much longer the upstream stays cold.
     pub fn record_check(&mut self, asked_at: Instant, now: Instant, cold_for: Duration) {
         if self.checked_at.is_some_and(|newest| asked_at < newest) {
             return;
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Records how much longer the upstream stays cold, as announced by it. An announcement may be
-    /// seconds old, so it never proves that the upstream is warm.
+    /// Records an announcement of the upstream: how much longer it stays cold. An announcement may
+    /// be seconds old, so it never proves that the upstream is warm.
     pub fn record_announcement(&mut self, now: Instant, cold_for: Duration) {
         if !cold_for.is_zero() {
             let until = now + cold_for;
@@ -115,7 +115,7 @@
         self.rate.is_some() && self.cold_until.is_some_and(|until| now < until)
     }
 
-    /// Whether the upstream must be asked how much longer it stays cold.
+    /// Whether a check must be sent, which asks the upstream how much longer it stays cold.
     #[must_use]
     pub fn is_check_due(&self, now: Instant) -> bool {
         if self.rate.is_none() {
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -107,7 +107,7 @@
     assert_eq!(table.present().count(), 1);
 }
 
-/// A host that was declared dead while its process was frozen must refute this with a version that
+/// A host that was declared dead while its process was paused must refute this with a version that
 /// supersedes the record of its death.
 #[test]
 fn merge_refutes_a_record_of_own_death() {
