--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -6,14 +6,14 @@
 use error_stack::Report;
 use mintridge_core::preset::Invalid;
 use mintridge_node::settings;
-use mintridge_store::presets::Refused;
+use mintridge_store::presets::ChangeError;
 
 /// Reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The change of a preset was rejected, or its outcome is unknown.
     #[error(transparent)]
-    Preset(#[from] Refused),
+    Preset(#[from] ChangeError),
     /// The store could not be read.
     #[error(transparent)]
     Store(#[from] mintridge_store::client::Error),
@@ -53,11 +53,12 @@
     #[must_use]
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
-            Self::File(_) | Self::Invalid(_) | Self::Preset(Refused::Invalid(_)) | Self::NoNode => {
-                2
-            }
-            Self::Preset(Refused::Conflict(_) | Refused::Edited(_)) => 3,
-            Self::Preset(Refused::Unknown(_)) => 4,
+            Self::File(_)
+            | Self::Invalid(_)
+            | Self::Preset(ChangeError::Invalid(_))
+            | Self::NoNode => 2,
+            Self::Preset(ChangeError::Conflict(_) | ChangeError::Edited(_)) => 3,
+            Self::Preset(ChangeError::Unknown(_)) => 4,
             Self::Unconfirmed { .. } => 5,
             _ => 1,
         })
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -6,7 +6,7 @@
 
 use mintridge_core::claim::{Action, Claim, Claims, Completion, Owner, Ticket, Verdict};
 use mintridge_store::client::Client;
-use mintridge_store::epoch::{Epoch, Rise};
+use mintridge_store::epoch::{Epoch, Restoration};
 use mintridge_store::operation::Freshness;
 use mintridge_store::{keys, wire};
 use tokio::sync::{mpsc, oneshot};
@@ -56,7 +56,7 @@
     let mut newest_epoch = context.epochs.subscribe();
     let store = Client::new(settings.store.address, settings.store.timeout);
     let mut worker = Worker {
-        store: store.in_epochs(context.epochs.clone()),
+        store: store.with_epochs(context.epochs.clone()),
         claims: Claims::new(settings.claim.clone(), Instant::now()),
         answers: HashMap::new(),
         next_ticket: 0,
@@ -138,10 +138,10 @@
     /// is used, since that reply may already come from the epoch after the restore.
     fn follow_epoch(&mut self) {
         let newest_epoch = self.context.epochs.newest();
-        if let Some(rise) = Rise::between(self.epoch, newest_epoch) {
+        if let Some(restoration) = Restoration::between(self.epoch, newest_epoch) {
             log::warn!(
-                epoch_before = rise.before.0,
-                epoch = rise.now.0;
+                epoch_before = restoration.before.0,
+                epoch = restoration.now.0;
                 "the store was restored from an older copy: writing claims again, granting none yet"
             );
             self.lease = None;
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -158,7 +158,7 @@
                 settings.store.timeout,
                 context.adapter.store,
             )
-            .in_epochs(context.epochs.clone()),
+            .with_epochs(context.epochs.clone()),
             state: RefCell::new(State {
                 table: Table::new(settings.membership.clone(), own, seed),
                 bootstrap,
--- a/crates/node/src/control/epochs.rs
+++ b/crates/node/src/control/epochs.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use mintridge_store::epoch::Rise;
+use mintridge_store::epoch::Restoration;
 
 use super::Control;
 
@@ -17,19 +17,19 @@
     let mut previous = *newest.borrow_and_update();
     while newest.changed().await.is_ok() {
         let current = *newest.borrow_and_update();
-        if let Some(rise) = Rise::between(previous, current) {
-            handle_restore(&control, rise);
+        if let Some(restoration) = Restoration::between(previous, current) {
+            handle_restore(&control, restoration);
         }
         previous = current;
     }
 }
 
-fn handle_restore(control: &Control, rise: Rise) {
+fn handle_restore(control: &Control, restoration: Restoration) {
     let has_quarantined = !control.state.borrow().quarantine.quarantined().is_empty();
     let had_entry = control.state.borrow_mut().seed_lease.take().is_some();
     log::warn!(
-        epoch_before = rise.before.0,
-        epoch = rise.now.0,
+        epoch_before = restoration.before.0,
+        epoch = restoration.now.0,
         had_entry = had_entry,
         holds_back = has_quarantined;
         "store restored from an older copy; rewriting this node's entry and the quarantine"
--- a/crates/node/src/control/holder.rs
+++ b/crates/node/src/control/holder.rs
@@ -216,7 +216,7 @@
     let epoch = control.store.epochs().newest();
     match write_seed(control).await {
         // The store may have granted a lease of an earlier epoch to another node since.
-        Ok(_) if control.store.epochs().has_risen_since(epoch) => false,
+        Ok(_) if control.store.epochs().has_changed_since(epoch) => false,
         Ok(lease) => {
             control.state.borrow_mut().seed_lease = Some(lease);
             true
--- a/crates/node/src/control/persistence.rs
+++ b/crates/node/src/control/persistence.rs
@@ -74,7 +74,7 @@
 /// to be repeated because another node wrote or the store was restored in the meantime.
 async fn write(control: &Control) -> Result<bool, Error> {
     control.context.metrics.store_call("held");
-    let (item, _) = control.store.read(keys::HELD).await?;
+    let (item, _) = control.store.read(keys::QUARANTINE).await?;
     let epoch = control.store.epochs().newest();
     let revision = item.as_ref().map_or(0, |item| item.revision);
     let value = item.as_ref().map_or(&[][..], |item| &item.value);
@@ -87,11 +87,11 @@
     }
     let swap = Swap {
         expected: vec![Unchanged {
-            key: keys::HELD.to_owned(),
+            key: keys::QUARANTINE.to_owned(),
             revision,
         }],
         puts: vec![Put {
-            key: keys::HELD.to_owned(),
+            key: keys::QUARANTINE.to_owned(),
             value: serde_json::to_vec(&to_entries(now, &quarantined))?,
             lease: 0,
         }],
@@ -101,7 +101,7 @@
     let swapped = control.store.swap(&swap).await?;
     // A store that was restored in the meantime has lost the write, or matched the revision of
     // another write.
-    Ok(swapped && !control.store.epochs().has_risen_since(epoch))
+    Ok(swapped && !control.store.epochs().has_changed_since(epoch))
 }
 
 /// Loads the quarantine that was persisted before this node started, until this has succeeded once.
@@ -110,7 +110,11 @@
         return;
     }
     control.context.metrics.store_call("held-may-lag");
-    match control.store.list(keys::HELD, Freshness::MayLag).await {
+    match control
+        .store
+        .list(keys::QUARANTINE, Freshness::MayLag)
+        .await
+    {
         Ok(items) => {
             control.quarantine_loaded.set(true);
             let now = Instant::now();
--- a/crates/node/src/control/watch.rs
+++ b/crates/node/src/control/watch.rs
@@ -95,7 +95,7 @@
         let result = read_and_watch(&control, &source, &mut stagger, &mut is_failing).await;
         let Err(error) = result else { continue };
         control.store_health.record_read_failure();
-        if !matches!(error, Error::Compacted | Error::Cut) {
+        if !matches!(error, Error::Compacted | Error::WatchEnded) {
             if !is_failing {
                 log::warn!(
                     key = key, error:% = error;
@@ -141,13 +141,13 @@
     if source.prefix == source.key {
         return control.store.read(&source.key).await;
     }
-    let (items, read_at) = control
+    let (items, revision) = control
         .store
         .list_from(&source.prefix, Freshness::Latest)
         .await?;
-    evacuations::apply_listing(control, Instant::now(), &items, read_at);
+    evacuations::apply_listing(control, Instant::now(), &items, revision);
     let document = items.into_iter().find(|item| item.key == source.key);
-    Ok((document, read_at))
+    Ok((document, revision))
 }
 
 /// Reads the document, then watches it until the next read is due.
@@ -172,11 +172,11 @@
     let settings = &control.context.settings.control;
     let (kind, key) = (source.kind, source.key.as_str());
     let requested_at = Instant::now();
-    let (item, mut read_at) = read(control, source).await?;
+    let (item, mut revision) = read(control, source).await?;
     let epochs = control.store.epochs();
     let epoch = epochs.newest();
     if std::mem::take(is_failing) {
-        log::info!(key = key, revision = read_at; "document in the store can be read again");
+        log::info!(key = key, revision = revision; "document in the store can be read again");
         control.store_recovered.set(true);
     }
     control.mark_refreshed(requested_at);
@@ -190,14 +190,14 @@
             Kind::Routes => stagger.next(settings.watch_for),
         };
         let changes = tokio::select! {
-            changes = control.store.changes(&source.prefix, read_at, wait) => changes?,
-            () = epochs.risen_since(epoch) => return Ok(()),
+            changes = control.store.changes(&source.prefix, revision, wait) => changes?,
+            () = epochs.wait_for_change_since(epoch) => return Ok(()),
             () = control.store_health.recovered() => return Ok(()),
         };
-        if epochs.has_risen_since(epoch) {
+        if epochs.has_changed_since(epoch) {
             return Ok(());
         }
-        read_at = changes.read_at.max(read_at);
+        revision = changes.revision.max(revision);
         for change in changes.changes {
             evacuations::apply_change(control, &change);
             if let Change::Written(item) = change
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -83,7 +83,7 @@
     }
     let latest = latest(&settings);
     let epochs = settings.store.epoch_header.as_deref();
-    let epochs = epochs.map(Epochs::named_in).unwrap_or_default();
+    let epochs = epochs.map(Epochs::from_header).unwrap_or_default();
     let context = Arc::new(Context {
         settings,
         adapter,
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -249,7 +249,7 @@
             key: "claim.batch_most",
             found: settings.claim.batch_most as f64,
             min: 1.0,
-            max: mintridge_store::wire::TXN_OPERATIONS_MOST as f64,
+            max: mintridge_store::wire::MAX_TXN_OPERATIONS as f64,
             allowed: "1 to 128",
         },
     ]
--- a/crates/node/tests/presets.rs
+++ b/crates/node/tests/presets.rs
@@ -12,7 +12,7 @@
 use mintridge_standin::scene::{Scene, author, wait_for};
 use mintridge_standin::store::Faults;
 use mintridge_store::keys::{IN_FORCE, SEEDS};
-use mintridge_store::presets::{self, Refused};
+use mintridge_store::presets::{self, ChangeError};
 use rstest::rstest;
 use rustix::process::Signal;
 
@@ -178,7 +178,7 @@
         (Ok(won), Err(lost)) | (Err(lost), Ok(won)) => (won, lost),
         other => panic!("{other:?}"),
     };
-    let Refused::Conflict(found) = lost else {
+    let ChangeError::Conflict(found) = lost else {
         panic!("{lost:?}");
     };
     assert_eq!(found.changed_by, won.changed_by);
@@ -222,7 +222,10 @@
         .await
         .unwrap_err();
     assert!(
-        matches!(refused, Refused::Unread(_) | Refused::NotChanged(_)),
+        matches!(
+            refused,
+            ChangeError::ReadFailed(_) | ChangeError::NotChanged(_)
+        ),
         "{refused:?}"
     );
 }
--- a/crates/standin/src/scene.rs
+++ b/crates/standin/src/scene.rs
@@ -461,7 +461,7 @@
         &self,
         preset: Preset,
         change_id: &str,
-    ) -> Result<InForce, presets::Refused> {
+    ) -> Result<InForce, presets::ChangeError> {
         let store = self.operator_client();
         let author = author(change_id);
         presets::put(&store, "preset", preset, None, &author).await?;
--- a/crates/standin/src/store/serving.rs
+++ b/crates/standin/src/store/serving.rs
@@ -105,7 +105,7 @@
     let largest = [txn.compare.len(), txn.success.len(), txn.failure.len()];
     if largest
         .into_iter()
-        .any(|length| length > wire::TXN_OPERATIONS_MOST)
+        .any(|length| length > wire::MAX_TXN_OPERATIONS)
     {
         return reply::text(
             StatusCode::BAD_REQUEST,
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -55,7 +55,7 @@
     Status(StatusCode),
     /// The store rejected the call without applying it.
     #[error("the store rejected the call with status {0}; nothing was changed")]
-    NotDone(StatusCode),
+    Rejected(StatusCode),
     /// The lease to which a write was to be attached has ended; nothing was written.
     #[error("the lease has ended")]
     LeaseEnded,
@@ -68,7 +68,7 @@
     Outdated,
     /// The store ended a watch.
     #[error("the store ended the watch")]
-    Cut,
+    WatchEnded,
     /// The reply belongs to another operation than the one called.
     #[error("the store's reply belongs to another operation")]
     Mismatch,
@@ -90,12 +90,12 @@
     #[must_use]
     pub const fn proves_no_effect(&self) -> bool {
         match self {
-            Self::Unreachable { .. } | Self::NotDone(_) | Self::LeaseEnded => true,
+            Self::Unreachable { .. } | Self::Rejected(_) | Self::LeaseEnded => true,
             Self::Status(_)
             | Self::NoReply { .. }
             | Self::Compacted
             | Self::Outdated
-            | Self::Cut
+            | Self::WatchEnded
             | Self::Mismatch
             | Self::Malformed(_)
             | Self::Value { .. } => false,
@@ -147,7 +147,7 @@
 
     /// Makes the client record the epochs of its replies in `epochs`.
     #[must_use]
-    pub fn in_epochs(self, epochs: Epochs) -> Self {
+    pub fn with_epochs(self, epochs: Epochs) -> Self {
         Self { epochs, ..self }
     }
 
@@ -166,7 +166,7 @@
             key: key.to_owned(),
         };
         match self.run(&operation, self.timeout).await? {
-            Reply::Page(page) => Ok((page.items.into_iter().next(), page.read_at)),
+            Reply::Page(page) => Ok((page.items.into_iter().next(), page.revision)),
             _ => Err(Error::Mismatch),
         }
     }
@@ -199,7 +199,7 @@
         freshness: Freshness,
     ) -> Result<(Vec<Item>, i64), Error> {
         let mut items: Vec<Item> = Vec::new();
-        let mut read_at = None;
+        let mut revision = None;
         loop {
             let operation = Operation::List {
                 prefix: prefix.to_owned(),
@@ -212,10 +212,10 @@
                 return Err(Error::Mismatch);
             };
             let more = page.more && !page.items.is_empty();
-            let first_read_at = *read_at.get_or_insert(page.read_at);
+            let first_revision = *revision.get_or_insert(page.revision);
             items.extend(page.items);
             if !more {
-                return Ok((items, first_read_at));
+                return Ok((items, first_revision));
             }
         }
     }
@@ -248,7 +248,7 @@
             Ok(Err(error)) => Err(error),
             Err(_) => Ok(Changes {
                 changes: vec![],
-                read_at: after,
+                revision: after,
             }),
         }
     }
@@ -379,7 +379,7 @@
             };
             match parse(answer)? {
                 Some(reply) => return Ok(reply),
-                None if complete => return Err(Error::Cut),
+                None if complete => return Err(Error::WatchEnded),
                 None => {}
             }
         }
--- a/crates/store/src/epoch.rs
+++ b/crates/store/src/epoch.rs
@@ -18,14 +18,14 @@
 
 /// Change of the epoch: the store was restored between two observations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rise {
+pub struct Restoration {
     /// Epoch at the first observation.
     pub before: Epoch,
     /// Epoch at the second observation.
     pub now: Epoch,
 }
 
-impl Rise {
+impl Restoration {
     /// Compares two observations; returns `None` if the epoch did not change. The first epoch that
     /// a store reports is not a restoration.
     #[must_use]
@@ -46,7 +46,7 @@
     /// Tracks the epochs that a store sends in this response header. No epoch is tracked if
     /// `header` is not a valid header name.
     #[must_use]
-    pub fn named_in(header: &str) -> Self {
+    pub fn from_header(header: &str) -> Self {
         Self {
             header: HeaderName::try_from(header).ok(),
             newest: Arc::default(),
@@ -67,16 +67,16 @@
 
     /// Returns whether the store has been restored since it was in this epoch.
     #[must_use]
-    pub fn has_risen_since(&self, epoch: Option<Epoch>) -> bool {
-        Rise::between(epoch, self.newest()).is_some()
+    pub fn has_changed_since(&self, epoch: Option<Epoch>) -> bool {
+        Restoration::between(epoch, self.newest()).is_some()
     }
 
     /// Waits until the store has been restored since it was in this epoch.
-    pub async fn risen_since(&self, epoch: Option<Epoch>) {
+    pub async fn wait_for_change_since(&self, epoch: Option<Epoch>) {
         let mut newest = self.newest.subscribe();
         // This handle keeps the sender alive.
         let _ = newest
-            .wait_for(|newest| Rise::between(epoch, *newest).is_some())
+            .wait_for(|newest| Restoration::between(epoch, *newest).is_some())
             .await;
     }
 
--- a/crates/store/src/etcd.rs
+++ b/crates/store/src/etcd.rs
@@ -70,7 +70,7 @@
             Reply::Page(Page {
                 items: range.kvs.into_iter().map(item).collect(),
                 more: false,
-                read_at: range.header.revision,
+                revision: range.header.revision,
             })
         }
         Operation::Swap(_) => {
@@ -97,7 +97,7 @@
 #[must_use]
 pub fn status_error(status: StatusCode) -> Error {
     if status.is_client_error() {
-        Error::NotDone(status)
+        Error::Rejected(status)
     } else {
         Error::Status(status)
     }
@@ -110,16 +110,16 @@
         let item: wire::Streamed<wire::WatchReply> = match items.next() {
             Some(Ok(item)) => item,
             Some(Err(error)) if !error.is_eof() => return Err(Error::Malformed(error)),
-            Some(Err(_)) | None if answer.complete => return Err(Error::Cut),
+            Some(Err(_)) | None if answer.complete => return Err(Error::WatchEnded),
             Some(Err(_)) | None => return Ok(None),
         };
         let events: Vec<wire::Event> = item.result.events;
-        let Some(read_at) = events.iter().map(|event| event.kv.mod_revision).max() else {
+        let Some(revision) = events.iter().map(|event| event.kv.mod_revision).max() else {
             continue;
         };
         return Ok(Some(Reply::Changes(Changes {
             changes: events.into_iter().map(change).collect(),
-            read_at,
+            revision,
         })));
     }
 }
--- a/crates/store/src/keys.rs
+++ b/crates/store/src/keys.rs
@@ -8,7 +8,7 @@
 /// [`mintridge_core::membership::Record`] attached to a lease.
 pub const SEEDS: &str = "mintridge/seeds/";
 /// Key of the quarantined requests, those under which upstreams crashed, all in one value.
-pub const HELD: &str = "mintridge/held";
+pub const QUARANTINE: &str = "mintridge/held";
 /// Prefix of the claimed idempotency keys, each with the mark of its request as the value and
 /// attached to a lease.
 pub const CLAIMS: &str = "mintridge/claims/";
--- a/crates/store/src/operation.rs
+++ b/crates/store/src/operation.rs
@@ -121,7 +121,7 @@
     /// Whether more items follow the last one.
     pub more: bool,
     /// Store revision of the read.
-    pub read_at: i64,
+    pub revision: i64,
 }
 
 /// Changes in the order of their revisions.
@@ -130,7 +130,7 @@
     /// The changes; empty if the wait ended without any.
     pub changes: Vec<Change>,
     /// Revision from which the next watch resumes.
-    pub read_at: i64,
+    pub revision: i64,
 }
 
 /// Reply to an [`Operation`].
--- a/crates/store/src/presets.rs
+++ b/crates/store/src/presets.rs
@@ -14,7 +14,7 @@
 
 /// Reason why a change was not made, or why its outcome is unknown.
 #[derive(Debug, thiserror::Error)]
-pub enum Refused {
+pub enum ChangeError {
     /// A value is out of range.
     #[error(transparent)]
     Invalid(#[from] Invalid),
@@ -38,7 +38,7 @@
     Unknown(Error),
     /// The store could not be read.
     #[error("nothing was changed: {0}")]
-    Unread(#[from] Error),
+    ReadFailed(#[from] Error),
 }
 
 /// Author and time of a change.
@@ -98,10 +98,10 @@
 ///
 /// # Errors
 /// If the store fails, no preset has this name, or the value does not parse.
-pub async fn get(store: &Client, name: &str) -> Result<Stored, Refused> {
+pub async fn get(store: &Client, name: &str) -> Result<Stored, ChangeError> {
     let key = keys::preset(name);
     let Some(found) = store.get(&key).await? else {
-        return Err(Refused::NotFound(Arc::from(name)));
+        return Err(ChangeError::NotFound(Arc::from(name)));
     };
     Ok(Stored {
         name: Arc::from(name),
@@ -135,20 +135,20 @@
 /// Returns the new document in force if the change affects it.
 ///
 /// # Errors
-/// See [`Refused`].
+/// See [`ChangeError`].
 pub async fn put(
     store: &Client,
     name: &str,
     preset: Preset,
     expected: Option<i64>,
     author: &Author,
-) -> Result<Option<InForce>, Refused> {
+) -> Result<Option<InForce>, ChangeError> {
     preset.check()?;
     let current = in_force(store).await?;
     let key = keys::preset(name);
     let found = store.get(&key).await?.map_or(0, |found| found.revision);
     if expected.is_some_and(|expected| expected != found) {
-        return Err(Refused::Edited(Arc::from(name)));
+        return Err(ChangeError::Edited(Arc::from(name)));
     }
     let contents = serde_json::to_vec(&preset).map_err(Error::from)?;
     let mut change = Swap {
@@ -168,8 +168,8 @@
 /// Puts a preset in force.
 ///
 /// # Errors
-/// See [`Refused`].
-pub async fn activate(store: &Client, name: &str, author: &Author) -> Result<InForce, Refused> {
+/// See [`ChangeError`].
+pub async fn activate(store: &Client, name: &str, author: &Author) -> Result<InForce, ChangeError> {
     let stored = get(store, name).await?;
     let current = in_force(store).await?;
     activate_from(store, &stored, &current, author).await
@@ -179,13 +179,13 @@
 /// read.
 ///
 /// # Errors
-/// See [`Refused`].
+/// See [`ChangeError`].
 pub async fn activate_from(
     store: &Client,
     stored: &Stored,
     current: &Current,
     author: &Author,
-) -> Result<InForce, Refused> {
+) -> Result<InForce, ChangeError> {
     let next = next_in_force(current, &stored.name, stored.preset.clone(), author);
     let change = Swap {
         expected: vec![
@@ -215,12 +215,12 @@
 /// Deletes a preset that is not in force.
 ///
 /// # Errors
-/// See [`Refused`].
-pub async fn delete(store: &Client, name: &str) -> Result<(), Refused> {
+/// See [`ChangeError`].
+pub async fn delete(store: &Client, name: &str) -> Result<(), ChangeError> {
     let stored = get(store, name).await?;
     let current = in_force(store).await?;
     if current.in_force.name.as_ref() == name {
-        return Err(Refused::InUse(Arc::from(name)));
+        return Err(ChangeError::InUse(Arc::from(name)));
     }
     let key = keys::preset(name);
     let change = Swap {
@@ -239,43 +239,47 @@
 /// Failure: the write takes effect and its reply is lost. Symptom: the command reports a failure,
 /// the operator repeats the change, and thereby reverts what another operator changed in between.
 /// The writer's mark in the stored value tells whose write took effect.
-async fn swap_in_force(store: &Client, change: Swap, next: InForce) -> Result<InForce, Refused> {
+async fn swap_in_force(
+    store: &Client,
+    change: Swap,
+    next: InForce,
+) -> Result<InForce, ChangeError> {
     let mut last_error = None;
     for _ in 0..MAX_WRITE_ATTEMPTS {
         match store.swap(&change).await {
             Ok(true) => return Ok(next),
             Ok(_) => return resolve_mismatch(store, next).await,
             Err(error) if error.proves_no_effect() && last_error.is_none() => {
-                return Err(Refused::NotChanged(error));
+                return Err(ChangeError::NotChanged(error));
             }
             Err(error) => last_error = Some(error),
         }
         match in_force(store).await {
             Ok(current) if current.in_force.mark == next.mark => return Ok(next),
             Ok(current) if current.in_force.revision >= next.revision => {
-                return Err(Refused::Conflict(Box::new(current.in_force)));
+                return Err(ChangeError::Conflict(Box::new(current.in_force)));
             }
             Ok(_) => {}
             Err(error) => last_error = Some(error),
         }
     }
     match last_error {
-        Some(error) => Err(Refused::Unknown(error)),
+        Some(error) => Err(ChangeError::Unknown(error)),
         None => resolve_mismatch(store, next).await,
     }
 }
 
 /// Determines why the conditions of a swap did not hold: because of another operator's change, or
 /// because an earlier attempt of this one took effect.
-async fn resolve_mismatch(store: &Client, next: InForce) -> Result<InForce, Refused> {
-    let current = in_force(store).await.map_err(Refused::Unknown)?;
+async fn resolve_mismatch(store: &Client, next: InForce) -> Result<InForce, ChangeError> {
+    let current = in_force(store).await.map_err(ChangeError::Unknown)?;
     if current.in_force.mark == next.mark {
         return Ok(next);
     }
     if current.in_force.revision >= next.revision {
-        return Err(Refused::Conflict(Box::new(current.in_force)));
+        return Err(ChangeError::Conflict(Box::new(current.in_force)));
     }
-    Err(Refused::Edited(next.name))
+    Err(ChangeError::Edited(next.name))
 }
 
 /// Writes or deletes a preset, which carries no mark. If the reply is lost, the key's revision and
@@ -285,14 +289,14 @@
     change: &Swap,
     key: &str,
     revision_before: i64,
-) -> Result<(), Refused> {
+) -> Result<(), ChangeError> {
     let error = match store.swap(change).await {
         Ok(true) => return Ok(()),
-        Ok(false) => return Err(Refused::Edited(Arc::from(key))),
-        Err(error) if error.proves_no_effect() => return Err(Refused::NotChanged(error)),
+        Ok(false) => return Err(ChangeError::Edited(Arc::from(key))),
+        Err(error) if error.proves_no_effect() => return Err(ChangeError::NotChanged(error)),
         Err(error) => error,
     };
-    let found = store.get(key).await.map_err(Refused::Unknown)?;
+    let found = store.get(key).await.map_err(ChangeError::Unknown)?;
     let (revision_now, value) = found.map_or((0, vec![]), |found| (found.revision, found.value));
     let is_stored = |put: &Put| put.key == key && put.value == value;
     let was_deleted = revision_now == 0 && change.deletes.iter().any(|deleted| deleted == key);
@@ -300,7 +304,7 @@
     if revision_now != revision_before && is_own {
         return Ok(());
     }
-    Err(Refused::Unknown(error))
+    Err(ChangeError::Unknown(error))
 }
 
 fn next_in_force(current: &Current, name: &str, preset: Preset, author: &Author) -> InForce {
--- a/crates/store/src/wire.rs
+++ b/crates/store/src/wire.rs
@@ -18,7 +18,7 @@
 /// Path of watches; the reply is a stream of JSON values.
 pub const WATCH: &str = "/v3/watch";
 /// Maximum number of operations in one transaction, etcd's default.
-pub const TXN_OPERATIONS_MOST: usize = 128;
+pub const MAX_TXN_OPERATIONS: usize = 128;
 
 /// Header of a reply, with the revision of the whole store.
 #[serde_as]
--- a/crates/store/tests/epoch.rs
+++ b/crates/store/tests/epoch.rs
@@ -29,7 +29,7 @@
             let _ = stream.write_all(answer.as_bytes()).await;
         }
     });
-    Client::new(address, TIMEOUT).in_epochs(Epochs::named_in(HEADER))
+    Client::new(address, TIMEOUT).with_epochs(Epochs::from_header(HEADER))
 }
 
 /// The store has been restored, and a response sent before the restoration arrives after one sent
@@ -49,17 +49,17 @@
 /// A state read in one epoch is valid until any response carries the next epoch, including a
 /// response to another client of the same process.
 #[tokio::test]
-async fn risen_since_ends_with_the_first_answer_of_the_next_epoch() {
+async fn wait_for_change_since_ends_with_the_first_answer_of_the_next_epoch() {
     let one = client(&["3", "4"]).await;
     let other = one.clone();
     assert!(one.read("key").await.is_ok());
     let epoch = one.epochs().newest();
-    let risen = one.epochs().risen_since(epoch);
-    tokio::pin!(risen);
-    let early_result = tokio::time::timeout(Duration::from_millis(50), risen.as_mut()).await;
+    let changed = one.epochs().wait_for_change_since(epoch);
+    tokio::pin!(changed);
+    let early_result = tokio::time::timeout(Duration::from_millis(50), changed.as_mut()).await;
     assert!(early_result.is_err(), "nothing has changed yet");
     assert!(other.read("key").await.is_ok());
-    risen.await;
+    changed.await;
 }
 
 /// A response without an epoch, or with a header value that is not one, is accepted and does not
