--- a/crates/node/src/control/epochs.rs
+++ b/crates/node/src/control/epochs.rs
@@ -34,7 +34,7 @@
         holds_back = has_quarantined;
         "store restored from an older copy; rewriting this node's entry and the quarantine"
     );
-    control.context.metrics.store_return();
+    control.context.metrics.record_store_restore();
     control.store_recovered.set(true);
     if has_quarantined {
         control.quarantine_changed.notify_one();
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -238,7 +238,7 @@
     }
 
     /// Counts a restore of the store from an older copy.
-    pub fn store_return(&self) {
+    pub fn record_store_restore(&self) {
         self.store_returns.inc();
     }
 
