--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -4,13 +4,13 @@
 
 use hyper::{Request, Response, StatusCode};
 use mintridge_core::outcome::Reason;
-use mintridge_http::handler::{Answer, Function};
+use mintridge_http::handler::{Function, ResponseFuture};
 use mintridge_http::{Body, reply, server};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 
-use crate::context::{Context, Guarded, View};
-use crate::entry::Seen;
+use crate::context::{Context, GuardState, View};
+use crate::entry::UpstreamView;
 
 /// Path that returns 200 while the process responds.
 pub const HEALTH: &str = "/health";
@@ -36,9 +36,9 @@
     #[serde(default)]
     pub routes_version: u64,
     /// State of the upstream beside the node.
-    pub guarded: Guarded,
+    pub guarded: GuardState,
     /// Load of the upstreams as known to the node's entry.
-    pub seen: Vec<Seen>,
+    pub seen: Vec<UpstreamView>,
 }
 
 /// Serves the endpoints for operators until the node ends.
@@ -48,7 +48,7 @@
         connections: 64,
         ..server::Limits::default()
     };
-    let handler = Function::new(context, |context, request| -> Answer {
+    let handler = Function::new(context, |context, request| -> ResponseFuture {
         Box::pin(async move { answer(&context, &request) })
     });
     server::serve(listener, handler, server::Protocol::Http1, limits, phase).await;
@@ -99,6 +99,6 @@
         view: context.latest.view.borrow().as_ref().clone(),
         routes_version: context.routes_version(),
         guarded: context.latest.guarded.borrow().clone(),
-        seen: context.latest.seen.borrow().clone(),
+        seen: context.latest.upstreams.borrow().clone(),
     }
 }
--- a/crates/node/tests/answers.rs
+++ b/crates/node/tests/answers.rs
@@ -6,16 +6,16 @@
 
 use bytes::Bytes;
 use common::{
-    Account, BEHIND, ENTRY, Plan, get, hosts, is_broken, mixed_load, post, processes,
-    processes_and_entry, relayed, threads, within,
+    ENTRY, Plan, RELAYED, Replies, get, hosts, is_broken, mixed_load, post, relayed,
+    start_processes, start_processes_with_entry, start_threads, with_timeout,
 };
 use hyper::Method;
-use mintridge_bench::caller::{Call, Told};
+use mintridge_bench::caller::{Call, Reply};
 use mintridge_core::outcome::{Outcome, Reason};
 use mintridge_node::settings::Settings;
 use mintridge_standin::relay::Condition;
 use mintridge_standin::scene::wait_for;
-use mintridge_standin::upstream::{Manner, Result as Answer};
+use mintridge_standin::upstream::{Echo, Mode};
 use rstest::rstest;
 use rustix::process::Signal;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -36,9 +36,9 @@
 #[case::large(20_000_000)]
 #[tokio::test]
 async fn answer_arrives_whole(#[case] length: usize) {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     for entry in 0..2 {
-        let Told::Answer { body, .. } = scene.call(entry, &bytes(length)).await else {
+        let Reply::Answer { body, .. } = scene.call(entry, &bytes(length)).await else {
             panic!("no answer");
         };
         assert_eq!(body.len(), length);
@@ -51,7 +51,7 @@
 #[case::large(20_000_000)]
 #[tokio::test]
 async fn request_arrives_whole(#[case] length: usize) {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     let content: Vec<u8> = (0..=u8::MAX).cycle().take(length).collect();
     let digest = blake3::hash(&content).to_hex().to_string();
     let call = Call {
@@ -59,10 +59,10 @@
         timeout: Duration::from_secs(30),
         ..post("upload", "key")
     };
-    let Told::Answer { body, .. } = scene.call(0, &call).await else {
+    let Reply::Answer { body, .. } = scene.call(0, &call).await else {
         panic!("no answer");
     };
-    let answer = Answer::parse(&body).expect("an answer of the stand-in");
+    let answer = Echo::parse(&body).expect("an answer of the stand-in");
     assert_eq!(
         (answer.body_bytes, answer.body_digest),
         (length as u64, digest)
@@ -73,7 +73,7 @@
 /// host with a truncated body.
 #[tokio::test]
 async fn request_body_is_whole_at_the_second_host() {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     scene.end_upstream(0);
     let content = vec![7_u8; 100_000];
     let digest = blake3::hash(&content).to_hex().to_string();
@@ -83,10 +83,10 @@
             ..post(&format!("id-{n}"), &format!("key-{n}"))
         };
         let reply = scene.call(0, &call).await;
-        let Told::Answer { body, .. } = &reply else {
+        let Reply::Answer { body, .. } = &reply else {
             panic!("{reply:?}");
         };
-        let answer = Answer::parse(body).expect("an answer of the stand-in");
+        let answer = Echo::parse(body).expect("an answer of the stand-in");
         assert_eq!(answer.body_digest, digest);
     }
 }
@@ -95,23 +95,23 @@
 /// complete to the caller.
 #[tokio::test]
 async fn broken_answer_is_seen_broken() {
-    let scene = processes(hosts(1)).await;
-    scene.behave(0, |behaviour| behaviour.manner = Manner::BreakAnswers);
+    let scene = start_processes(hosts(1)).await;
+    scene.update_behaviour(0, |behaviour| behaviour.manner = Mode::BreakAnswers);
     let reply = scene.call(0, &bytes(1_000_000)).await;
-    assert_eq!(reply, Told::Broken { begun: true });
+    assert_eq!(reply, Reply::Broken { begun: true });
 }
 
 /// The node beside the upstream is killed while it forwards a response. Guards against a truncated
 /// response that looks complete to the caller.
 #[tokio::test]
 async fn answer_cut_by_a_killed_guard_is_seen_broken() {
-    let mut scene = processes_and_entry(1).await;
+    let mut scene = start_processes_with_entry(1).await;
     let entry = scene.addresses(1).callers;
     let caller = scene.caller.clone();
     let call = bytes(2_000_000_000);
-    let reading = tokio::spawn(async move { caller.call(entry, &call).await.told });
+    let reading = tokio::spawn(async move { caller.call(entry, &call).await.reply });
     wait_for("the answer begins", || {
-        scene.hosts[0].upstream.account().open == 0 && scene.runs("bytes") == 1
+        scene.hosts[0].upstream.counts().open == 0 && scene.runs("bytes") == 1
     })
     .await;
     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -123,15 +123,15 @@
 /// An upstream receives what a nested call needs: the client account and the time left.
 #[tokio::test]
 async fn client_account_and_time_left_reach_the_upstream() {
-    let scene = threads(hosts(1)).await;
+    let scene = start_threads(hosts(1)).await;
     let call = Call {
         client_account: String::from("printer-7"),
-        ..within(3_000, post("deeper", "key"))
+        ..with_timeout(3_000, post("deeper", "key"))
     };
-    let Told::Answer { body, .. } = scene.call(0, &call).await else {
+    let Reply::Answer { body, .. } = scene.call(0, &call).await else {
         panic!("no answer");
     };
-    let answer = Answer::parse(&body).expect("an answer of the stand-in");
+    let answer = Echo::parse(&body).expect("an answer of the stand-in");
     assert_eq!(answer.client_account, "printer-7");
     let left: u64 = answer.left_millis.parse().expect("a number");
     assert!(left > 0 && left <= 3_000, "{left}");
@@ -145,7 +145,7 @@
 /// succeed.
 #[tokio::test]
 async fn answers_are_never_mixed_up() {
-    let scene = processes(Plan {
+    let scene = start_processes(Plan {
         adjust: |settings| {
             settings.admission.queue_per_slot = 100.0;
             settings.store.timeout = Duration::from_secs(4);
@@ -153,27 +153,27 @@
         ..hosts(3)
     })
     .await;
-    let mut account = Account::default();
-    account.run(&mixed_load(&scene, 300.0, 3.0)).await;
-    account.check(&scene);
-    account.all_succeeded();
+    let mut replies = Replies::default();
+    replies.run(&mixed_load(&scene, 300.0, 3.0)).await;
+    replies.check(&scene);
+    replies.all_succeeded();
 }
 
 /// The caller disconnects. Guards against work that goes on at the upstream and keeps its slot.
 #[tokio::test]
 async fn hang_up_cancels_the_work() {
-    let scene = processes(hosts(1)).await;
-    scene.behave(0, |behaviour| behaviour.manner = Manner::Silent);
+    let scene = start_processes(hosts(1)).await;
+    scene.update_behaviour(0, |behaviour| behaviour.manner = Mode::Silent);
     let entry = scene.addresses(0).callers;
     let caller = scene.caller.clone();
-    let call = within(60_000, get("given-up"));
+    let call = with_timeout(60_000, get("given-up"));
     let calling = tokio::spawn(async move { caller.call(entry, &call).await });
-    let open = || scene.hosts[0].upstream.account().open;
+    let open = || scene.hosts[0].upstream.counts().open;
     wait_for("it runs", || open() == 1).await;
     calling.abort();
     wait_for("it is cancelled", || open() == 0).await;
     scene
-        .until_of(&[0], "its slot is free", |status| {
+        .wait_until_on(&[0], "its slot is free", |status| {
             status.guarded.load.in_flight == 0
         })
         .await;
@@ -186,12 +186,12 @@
 #[case::guard_paused(true)]
 #[tokio::test]
 async fn deadline_is_kept(#[case] guard_paused: bool) {
-    let scene = processes_and_entry(1).await;
-    scene.behave(0, |behaviour| behaviour.manner = Manner::Silent);
+    let scene = start_processes_with_entry(1).await;
+    scene.update_behaviour(0, |behaviour| behaviour.manner = Mode::Silent);
     if guard_paused {
         scene.process(0).signal(Signal::STOP).expect("paused");
     }
-    let call = within(700, post("late", "key"));
+    let call = with_timeout(700, post("late", "key"));
     let started_at = Instant::now();
     let reply = scene.call(1, &call).await;
     // The grace is 25 ms; the rest is a margin for a busy machine.
@@ -209,16 +209,16 @@
 /// Guards against a refusal that is sent only near the deadline though no upstream can be reached.
 #[tokio::test]
 async fn refusal_does_not_wait_for_the_deadline() {
-    let scene = processes(hosts(1)).await;
+    let scene = start_processes(hosts(1)).await;
     scene.end_upstream(0);
     let started_at = Instant::now();
-    let reply = scene.call(0, &within(60_000, get("refused"))).await;
+    let reply = scene.call(0, &with_timeout(60_000, get("refused"))).await;
     assert!(
         started_at.elapsed() < Duration::from_secs(10),
         "{:?}",
         started_at.elapsed()
     );
-    let Told::Refused { retry_after, .. } = reply else {
+    let Reply::Refused { retry_after, .. } = reply else {
         panic!("{reply:?}");
     };
     assert!(retry_after.is_some());
@@ -235,12 +235,12 @@
             .await
             .is_success()
     );
-    relay.lose_open_connections();
+    relay.stall_open_connections();
     tokio::time::sleep(Duration::from_millis(1_300)).await;
     let reply = scene.call(ENTRY, &post("after", "key-2")).await;
     assert!(reply.is_success(), "{reply:?}");
     assert_eq!(
-        scene.hosts[BEHIND].upstream.account().runs.get("after"),
+        scene.hosts[RELAYED].upstream.counts().runs.get("after"),
         Some(&1)
     );
 }
@@ -251,24 +251,24 @@
 #[tokio::test]
 async fn link_silent_under_a_request_ends_as_unknown() {
     let (scene, relay) = relayed().await;
-    scene.behave(BEHIND, |behaviour| behaviour.service_micros = 400_000);
+    scene.update_behaviour(RELAYED, |behaviour| behaviour.service_micros = 400_000);
     let entry = scene.addresses(ENTRY).callers;
     let caller = scene.caller.clone();
-    let call = within(30_000, post("first", "key"));
+    let call = with_timeout(30_000, post("first", "key"));
     let first = tokio::spawn(async move { caller.call(entry, &call).await });
     wait_for("it runs", || scene.runs("first") == 1).await;
-    relay.lose_open_connections();
+    relay.stall_open_connections();
     let timed_reply = first.await.expect("the caller lives");
     assert!(
         matches!(
-            timed_reply.told,
-            Told::Refused {
+            timed_reply.reply,
+            Reply::Refused {
                 reason: Reason::LinkLost,
                 ..
             }
-        ) && timed_reply.told.is_unknown(),
+        ) && timed_reply.reply.is_unknown(),
         "{:?}",
-        timed_reply.told
+        timed_reply.reply
     );
     assert!(
         timed_reply.took < Duration::from_secs(15),
@@ -298,7 +298,7 @@
 
 #[tokio::test]
 async fn options_put_and_delete_pass() {
-    let scene = threads(hosts(1)).await;
+    let scene = start_threads(hosts(1)).await;
     for method in [Method::OPTIONS, Method::PUT, Method::DELETE] {
         let call = Call {
             method,
@@ -312,19 +312,19 @@
 /// whose outcome is unknown but whose reason is that of the second attempt.
 #[tokio::test]
 async fn refusal_after_a_lost_link_has_its_reason() {
-    let mut scene = processes_and_entry(2).await;
+    let mut scene = start_processes_with_entry(2).await;
     for index in 0..2 {
-        scene.behave(index, |behaviour| behaviour.manner = Manner::Silent);
+        scene.update_behaviour(index, |behaviour| behaviour.manner = Mode::Silent);
     }
     let entry = scene.addresses(2).callers;
     let caller = scene.caller.clone();
-    let call = within(20_000, get("lost"));
-    let calling = tokio::spawn(async move { caller.call(entry, &call).await.told });
+    let call = with_timeout(20_000, get("lost"));
+    let calling = tokio::spawn(async move { caller.call(entry, &call).await.reply });
     wait_for("the request runs", || scene.runs("lost") == 1).await;
     let has_run = |index: usize| {
         scene.hosts[index]
             .upstream
-            .account()
+            .counts()
             .runs
             .contains_key("lost")
     };
@@ -335,7 +335,7 @@
     assert!(
         matches!(
             reply,
-            Told::Refused {
+            Reply::Refused {
                 outcome: Outcome::Unknown,
                 reason: Reason::LinkLost,
                 ..
@@ -356,7 +356,7 @@
 /// that is closed without a response because the time for the header section has passed.
 #[tokio::test]
 async fn paused_node_answers_what_arrived_meanwhile() {
-    let scene = processes(Plan {
+    let scene = start_processes(Plan {
         adjust: short_header_timeout,
         ..hosts(1)
     })
--- a/crates/node/tests/evacuation.rs
+++ b/crates/node/tests/evacuation.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Plan, ROUTES, Scene, get, processes, route, table, write_table};
+use common::{Plan, ROUTES, Scene, get, route, start_processes, table, write_table};
 use mintridge_node::operators::Status;
 use mintridge_standin::store::drill::Drill;
 use mintridge_store::operation::{Put, Swap};
@@ -28,10 +28,10 @@
         },
         ..Plan::default()
     };
-    let scene = processes(plan).await;
+    let scene = start_processes(plan).await;
     write_table(&scene, &table(1, vec![route("/")]));
     let in_force = |status: &Status| status.routes_version == 1;
-    scene.until("the routes are in force", in_force).await;
+    scene.wait_until("the routes are in force", in_force).await;
     scene
 }
 
@@ -45,7 +45,7 @@
         puts: vec![put],
         ..Swap::default()
     };
-    assert!(scene.operator().swap(&swap).await.expect("written"));
+    assert!(scene.operator_client().swap(&swap).await.expect("written"));
 }
 
 async fn restore_zone(scene: &Scene, zone: &str) {
@@ -53,7 +53,7 @@
         deletes: vec![format!("{EVACUATIONS}{zone}")],
         ..Swap::default()
     };
-    assert!(scene.operator().swap(&swap).await.expect("deleted"));
+    assert!(scene.operator_client().swap(&swap).await.expect("deleted"));
 }
 
 fn is_evacuated(status: &Status, zone: &str) -> bool {
@@ -63,14 +63,16 @@
 async fn until_evacuated(scene: &Scene, zone: &str, expected: bool) {
     let started_at = Instant::now();
     let matches = |status: &Status| is_evacuated(status, zone) == expected;
-    scene.until("the evacuations are in force", matches).await;
+    scene
+        .wait_until("the evacuations are in force", matches)
+        .await;
     let elapsed = started_at.elapsed();
     assert!(elapsed < PROPAGATION_TIMEOUT, "{elapsed:?}");
 }
 
 /// Returns the number of requests that the upstreams of these hosts received.
 fn request_count(scene: &Scene, hosts: &[usize]) -> u64 {
-    let requests = |index: &usize| scene.hosts[*index].upstream.account().requests;
+    let requests = |index: &usize| scene.hosts[*index].upstream.counts().requests;
     hosts.iter().map(requests).sum()
 }
 
@@ -114,7 +116,7 @@
         scene.start_node(index).expect("starts");
     }
     let joined = |status: &Status| status.routes_version == 1 && status.view.members.len() == 6;
-    scene.until("all hosts are known", joined).await;
+    scene.wait_until("all hosts are known", joined).await;
     until_evacuated(&scene, "zone-b", true).await;
     let before = request_count(&scene, &IN_ZONE_B);
     call_through_all(&scene, "started").await;
@@ -135,7 +137,7 @@
         scene.start_node(index).expect("starts");
     }
     let joined = |status: &Status| status.routes_version == 1 && status.view.members.len() == 6;
-    scene.until("all hosts are known", joined).await;
+    scene.wait_until("all hosts are known", joined).await;
     until_evacuated(&scene, "zone-b", true).await;
 }
 
@@ -144,11 +146,11 @@
 #[tokio::test]
 async fn evacuation_survives_a_restore_of_the_store() {
     let scene = scene().await;
-    scene.store.take_copy();
+    scene.store.take_backup();
     evacuate(&scene, "zone-b").await;
     until_evacuated(&scene, "zone-b", true).await;
     let drill = Drill {
-        operators_repeat_after: Duration::from_secs(2),
+        rewrite_delay: Duration::from_secs(2),
         ..Drill::default()
     };
     scene.store.drill(drill).await;
--- a/crates/node/tests/explain.rs
+++ b/crates/node/tests/explain.rs
@@ -7,9 +7,10 @@
 use std::{env, fs};
 
 use common::{
-    Plan, ROUTES, Scene, add_entry, bare_post, hosts, processes, table, within, write_table,
+    Plan, ROUTES, Scene, add_entry, hosts, post_without_key, start_processes, table, with_timeout,
+    write_table,
 };
-use mintridge_ctl::commands::explain::{self, Story};
+use mintridge_ctl::commands::explain::{self, History};
 use mintridge_node::operators::Status;
 use mintridge_node::settings::Settings;
 use mintridge_standin::upstream::Behaviour;
@@ -39,14 +40,14 @@
 }
 
 /// Returns the story of a request once the logs of the nodes contain its cause.
-async fn story(scene: &Scene, request: &str) -> Story {
+async fn story(scene: &Scene, request: &str) -> History {
     let timeout_at = Instant::now() + LOG_TIMEOUT;
     loop {
         let files: Vec<PathBuf> = (0..scene.hosts.len())
             .filter(|index| scene.hosts[*index].node.is_some())
             .map(|index| write_logs(scene, index))
             .collect();
-        let story = explain::read(request, &files);
+        let story = explain::read_history(request, &files);
         for file in files {
             let _ = fs::remove_file(file);
         }
@@ -72,16 +73,18 @@
 /// is refused at once. The logs must show the load that led to the refusal.
 #[tokio::test]
 async fn story_of_a_refusal_without_a_free_slot() {
-    let scene = processes(one_slot()).await;
+    let scene = start_processes(one_slot()).await;
     let entry = scene.addresses(0).callers;
     let caller = scene.caller.clone();
-    let first = tokio::spawn(async move { caller.call(entry, &bare_post("first")).await });
+    let first = tokio::spawn(async move { caller.call(entry, &post_without_key("first")).await });
     scene
-        .until("the slot is taken", |status| {
+        .wait_until("the slot is taken", |status| {
             status.guarded.load.in_flight == 1
         })
         .await;
-    let reply = scene.call(0, &within(5, bare_post("refused"))).await;
+    let reply = scene
+        .call(0, &with_timeout(5, post_without_key("refused")))
+        .await;
     assert!(reply.is_not_run(), "{reply:?}");
     let story = story(&scene, "refused").await;
     assert!(story.cause.contains("deadline (503)"), "{}", story.cause);
@@ -97,16 +100,18 @@
 /// link broke.
 #[tokio::test]
 async fn story_of_an_unknown_outcome() {
-    let mut scene = processes(one_slot()).await;
+    let mut scene = start_processes(one_slot()).await;
     add_entry(&mut scene).await;
-    scene.until_joined().await;
+    scene.wait_until_joined().await;
     let entry = scene.addresses(ENTRY).callers;
     let caller = scene.caller.clone();
-    let call = tokio::spawn(async move { caller.call(entry, &bare_post("lost")).await });
+    let call = tokio::spawn(async move { caller.call(entry, &post_without_key("lost")).await });
     let is_running = |status: &Status| status.guarded.load.in_flight == 1;
-    scene.until_of(&[0], "the slot is taken", is_running).await;
+    scene
+        .wait_until_on(&[0], "the slot is taken", is_running)
+        .await;
     scene.kill(0).await;
-    let reply = call.await.expect("the call ends").told;
+    let reply = call.await.expect("the call ends").reply;
     assert!(reply.is_unknown(), "{reply:?}");
     let story = story(&scene, "lost").await;
     assert!(story.cause.contains("link-lost (502)"), "{}", story.cause);
@@ -123,12 +128,12 @@
         use_caller_ids(settings);
         settings.routes.key = Some(String::from(ROUTES));
     };
-    let scene = processes(Plan { adjust, ..hosts(1) }).await;
+    let scene = start_processes(Plan { adjust, ..hosts(1) }).await;
     write_table(&scene, &table(7, vec![]));
     scene
-        .until("the table is in force", |status| status.routes_version == 7)
+        .wait_until("the table is in force", |status| status.routes_version == 7)
         .await;
-    let reply = scene.call(0, &bare_post("gone")).await;
+    let reply = scene.call(0, &post_without_key("gone")).await;
     assert!(reply.is_not_run(), "{reply:?}");
     let story = story(&scene, "gone").await;
     assert!(story.cause.contains("no-route (404)"), "{}", story.cause);
--- a/crates/node/tests/leaving.rs
+++ b/crates/node/tests/leaving.rs
@@ -6,7 +6,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use common::{Account, get, hosts, mixed_load, processes, processes_and_entry, within};
+use common::{
+    Replies, get, hosts, mixed_load, start_processes, start_processes_with_entry, with_timeout,
+};
 use mintridge_core::preset::Preset;
 use mintridge_node::announcement::State;
 use mintridge_node::operators::Status;
@@ -27,26 +29,26 @@
 }
 
 fn requests(scene: &Scene, index: usize) -> u64 {
-    scene.hosts[index].upstream.account().requests
+    scene.hosts[index].upstream.counts().requests
 }
 
 /// One node gets SIGTERM under load. All requests must be answered; callers of the stopped node use
 /// another one once it closes.
 #[tokio::test]
 async fn stop_of_a_node_cuts_no_request() {
-    let mut scene = processes(hosts(3)).await;
+    let mut scene = start_processes(hosts(3)).await;
     let mut load = mixed_load(&scene, 150.0, 5.0);
     load.targets.remove(0);
     let sending = tokio::spawn(async move {
-        let mut account = Account::default();
-        account.run(&load).await;
-        account
+        let mut replies = Replies::default();
+        replies.run(&load).await;
+        replies
     });
     tokio::time::sleep(Duration::from_secs(1)).await;
     scene.stop(0).await;
-    let account = sending.await.expect("the load ends");
-    account.check(&scene);
-    account.all_succeeded();
+    let replies = sending.await.expect("the load ends");
+    replies.check(&scene);
+    replies.all_succeeded();
 }
 
 /// The node of a service's only host is stopped. While its own callers are still being asked to
@@ -54,7 +56,7 @@
 /// unavailable only while nothing can reach it.
 #[tokio::test]
 async fn stop_serves_the_upstream_while_callers_leave() {
-    let scene = processes_and_entry(1).await;
+    let scene = start_processes_with_entry(1).await;
     scene
         .process(0)
         .signal(Signal::TERM)
@@ -72,14 +74,14 @@
 /// response.
 #[tokio::test]
 async fn stop_of_the_entry_node_finishes_requests_in_progress() {
-    let mut scene = processes(hosts(2)).await;
+    let mut scene = start_processes(hosts(2)).await;
     for index in 0..2 {
-        scene.behave(index, |behaviour| behaviour.service_micros = 2_500_000);
+        scene.update_behaviour(index, |behaviour| behaviour.service_micros = 2_500_000);
     }
     let entry = scene.addresses(0).callers;
     let caller = scene.caller.clone();
-    let call = within(20_000, get("long"));
-    let long = tokio::spawn(async move { caller.call(entry, &call).await.told });
+    let call = with_timeout(20_000, get("long"));
+    let long = tokio::spawn(async move { caller.call(entry, &call).await.reply });
     wait_for("the request runs", || scene.runs("long") == 1).await;
     scene.stop(0).await;
     assert!(long.await.expect("the caller lives").is_success());
@@ -90,7 +92,7 @@
 /// the listener is closed.
 #[tokio::test]
 async fn stop_sends_connection_close_before_it_closes() {
-    let mut scene = processes(hosts(2)).await;
+    let mut scene = start_processes(hosts(2)).await;
     let entry = scene.addresses(0).callers;
     let caller = scene.caller.clone();
     let sending = tokio::spawn(async move {
@@ -115,55 +117,55 @@
 /// gets no new ones.
 #[tokio::test]
 async fn drain_of_an_upstream_cuts_no_request() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     let load = mixed_load(&scene, 150.0, 5.0);
     let sending = tokio::spawn(async move {
-        let mut account = Account::default();
-        account.run(&load).await;
-        account
+        let mut replies = Replies::default();
+        replies.run(&load).await;
+        replies
     });
     tokio::time::sleep(Duration::from_secs(1)).await;
     scene.announce(0, State::Draining);
     tokio::time::sleep(LEAVING_TIMEOUT).await;
     let before = requests(&scene, 0);
-    let account = sending.await.expect("the load ends");
+    let replies = sending.await.expect("the load ends");
     assert_eq!(requests(&scene, 0), before, "new requests after leaving");
-    account.check(&scene);
-    account.all_succeeded();
+    replies.check(&scene);
+    replies.all_succeeded();
 }
 
 /// The preset in force names a host as leaving: the host finishes its requests, gets no new ones,
 /// and serves again once a later preset no longer names it.
 #[tokio::test]
 async fn preset_drains_a_host_and_restores_it() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     scene
-        .put_in_force(leaving("service-1"), "out")
+        .activate_preset(leaving("service-1"), "out")
         .await
         .expect("accepted");
     scene
-        .until("all know that it leaves", |status| {
+        .wait_until("all know that it leaves", |status| {
             status.view.members.iter().any(|record| {
                 &*record.host == "service-1" && record.upstream.as_ref().is_some_and(|u| u.leaving)
             })
         })
         .await;
     let before = requests(&scene, 0);
-    let mut account = Account::default();
-    account.run(&mixed_load(&scene, 100.0, 2.0)).await;
-    account.all_succeeded();
+    let mut replies = Replies::default();
+    replies.run(&mixed_load(&scene, 100.0, 2.0)).await;
+    replies.all_succeeded();
     assert_eq!(requests(&scene, 0), before);
     scene
-        .put_in_force(Preset::default(), "back")
+        .activate_preset(Preset::default(), "back")
         .await
         .expect("accepted");
     scene
-        .until_of(&[0], "it is open again", |status| {
+        .wait_until_on(&[0], "it is open again", |status| {
             status.guarded.closed.is_none()
         })
         .await;
     scene
-        .until("all know that it is back", |status| {
+        .wait_until("all know that it is back", |status| {
             status
                 .view
                 .members
@@ -171,8 +173,8 @@
                 .all(|record| record.upstream.as_ref().is_some_and(|u| !u.leaving))
         })
         .await;
-    account.run(&mixed_load(&scene, 100.0, 2.0)).await;
-    account.all_succeeded();
+    replies.run(&mixed_load(&scene, 100.0, 2.0)).await;
+    replies.all_succeeded();
     assert!(requests(&scene, 0) > before);
 }
 
@@ -185,22 +187,22 @@
 #[case::long(Duration::from_secs(12))]
 #[tokio::test]
 async fn paused_node_that_missed_the_preset_runs_nothing_on_resume(#[case] pause: Duration) {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     let before = requests(&scene, 0);
     let paused_at = Instant::now();
     scene.process(0).signal(Signal::STOP).expect("paused");
     scene
-        .put_in_force(leaving("service-1"), "out")
+        .activate_preset(leaving("service-1"), "out")
         .await
         .expect("accepted");
     let in_force = |status: &Status| status.view.in_force.revision.0 == 1;
-    scene.until_of(&[1, 2], "in force", in_force).await;
+    scene.wait_until_on(&[1, 2], "in force", in_force).await;
     let entry = scene.addresses(0).callers;
     let waiting: Vec<_> = (0..30)
         .map(|n| {
             let caller = scene.caller.clone();
-            let call = within(30_000, get(&format!("early-{n}")));
-            tokio::spawn(async move { caller.call(entry, &call).await.told })
+            let call = with_timeout(30_000, get(&format!("early-{n}")));
+            tokio::spawn(async move { caller.call(entry, &call).await.reply })
         })
         .collect();
     tokio::time::sleep(pause.saturating_sub(paused_at.elapsed())).await;
@@ -209,7 +211,7 @@
         let result = call.await.expect("the caller lives");
         assert!(result.is_success() || result.is_not_run(), "{result:?}");
     }
-    scene.until_of(&[0], "in force", in_force).await;
+    scene.wait_until_on(&[0], "in force", in_force).await;
     assert_eq!(
         requests(&scene, 0),
         before,
@@ -226,7 +228,7 @@
 /// which the node joined is cut.
 #[tokio::test]
 async fn requests_of_a_partitioned_entry_to_a_leaving_host_are_refused() {
-    let mut scene = processes(hosts(2)).await;
+    let mut scene = start_processes(hosts(2)).await;
     let (listener, relay_address) = loopback().await.expect("a free port");
     let relay = Arc::new(Relay::default());
     tokio::spawn(Arc::clone(&relay).run(listener, scene.addresses(0).control));
@@ -248,11 +250,11 @@
             .filter(|seen| &*seen.service == "service");
         others.count() == 2
     };
-    scene.until_of(&[2], "it knows both", knows_both).await;
+    scene.wait_until_on(&[2], "it knows both", knows_both).await;
     relay.set(Condition::Cut);
     scene.announce(0, State::Draining);
     scene
-        .until_of(&[0], "its guard knows", |status| {
+        .wait_until_on(&[0], "its guard knows", |status| {
             status.guarded.closed.is_some()
         })
         .await;
@@ -278,14 +280,14 @@
 /// from their peers.
 #[tokio::test]
 async fn drain_needs_no_store() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     scene.store.set_faults(Faults {
         down: true,
         ..Faults::default()
     });
     scene.announce(0, State::Draining);
     scene
-        .until("all know that it leaves", |status| {
+        .wait_until("all know that it leaves", |status| {
             status
                 .view
                 .members
--- a/crates/node/tests/pace.rs
+++ b/crates/node/tests/pace.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU32, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use common::answering;
+use common::serve_connections;
 use mintridge_bench::caller::{Call, Caller};
 use mintridge_node::adapter::Adapter;
 use mintridge_node::node::{self, Node};
@@ -29,7 +29,7 @@
 
 fn upstream(state: &Arc<UpstreamState>) -> SocketAddr {
     let state = Arc::clone(state);
-    answering(move |stream| serve(stream, &state))
+    serve_connections(move |stream| serve(stream, &state))
 }
 
 /// Answers requests without a body until the connection is closed.
@@ -69,7 +69,7 @@
     settings.probe.timeout = Duration::from_secs(1);
     let node = node::start(settings, Adapter::default()).expect("it starts");
     let is_discovered = || {
-        let has_peers = !node.context().latest.seen.borrow().is_empty();
+        let has_peers = !node.context().latest.upstreams.borrow().is_empty();
         has_peers && node.context().latest.guarded.borrow().closed.is_none()
     };
     wait_until("the upstream is discovered", is_discovered);
@@ -102,7 +102,7 @@
             timeout: Duration::from_mins(1),
             ..Call::default()
         };
-        Caller::default().call(address, &call).await.told
+        Caller::default().call(address, &call).await.reply
     });
     let initial_polls = state.polls.load(Ordering::SeqCst);
     let waits = || {
@@ -115,5 +115,5 @@
     let result = call.await.expect("the call ends");
     assert!(result.is_success(), "{result:?}");
     assert_eq!(state.requests.load(Ordering::SeqCst), 1);
-    node.end();
+    node.terminate();
 }
--- a/crates/node/tests/presets.rs
+++ b/crates/node/tests/presets.rs
@@ -5,14 +5,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use common::{Account, hosts, mixed_load, preset, processes, until_revision};
+use common::{Replies, hosts, mixed_load, preset, start_processes, until_revision};
 use mintridge_core::preset::{InForce, Preset, Revision};
 use mintridge_node::settings::Settings;
 use mintridge_standin::cost::calls_since;
 use mintridge_standin::scene::{Scene, author, wait_for};
 use mintridge_standin::store::Faults;
 use mintridge_store::keys::{IN_FORCE, SEEDS};
-use mintridge_store::presets::{self, Refused};
+use mintridge_store::presets::{self, ChangeError};
 use rstest::rstest;
 use rustix::process::Signal;
 
@@ -20,12 +20,12 @@
 /// second preset in force.
 async fn put_two_in_force(scene: &Scene) -> (Vec<u8>, InForce) {
     scene
-        .put_in_force(preset(0.2), "ana")
+        .activate_preset(preset(0.2), "ana")
         .await
         .expect("accepted");
     let old = scene.store.value(IN_FORCE).expect("written");
     let latest = scene
-        .put_in_force(preset(0.3), "ben")
+        .activate_preset(preset(0.3), "ben")
         .await
         .expect("accepted");
     (old, latest)
@@ -40,11 +40,11 @@
 
 #[tokio::test]
 async fn activation_reaches_every_node_within_seconds() {
-    let scene = processes(hosts(6)).await;
+    let scene = start_processes(hosts(6)).await;
     for revision in 1..=3 {
         let operator = format!("operator-{revision}");
         let in_force = scene
-            .put_in_force(preset(0.2), &operator)
+            .activate_preset(preset(0.2), &operator)
             .await
             .expect("accepted");
         let accepted = Instant::now();
@@ -57,25 +57,25 @@
 /// Guards against requests that fail while an operator switches presets under load.
 #[tokio::test]
 async fn activation_under_load_fails_no_request() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     let load = mixed_load(&scene, 150.0, 3.0);
     let sending = tokio::spawn(async move {
-        let mut account = Account::default();
-        account.run(&load).await;
-        account
+        let mut replies = Replies::default();
+        replies.run(&load).await;
+        replies
     });
     for change in 1..=5_u32 {
         let preset = preset(f64::from(change) / 100.0);
         let operator = format!("operator-{change}");
         let in_force = scene
-            .put_in_force(preset, &operator)
+            .activate_preset(preset, &operator)
             .await
             .expect("accepted");
         until_revision(&scene, in_force.revision.0).await;
     }
-    let account = sending.await.expect("the load ends");
-    account.check(&scene);
-    account.all_succeeded();
+    let replies = sending.await.expect("the load ends");
+    replies.check(&scene);
+    replies.all_succeeded();
 }
 
 /// Guards against a preset that does not reach every node because the store's watches stop
@@ -86,10 +86,10 @@
 #[case::slow(Faults { slow_millis: 200, ..Faults::default() })]
 #[tokio::test]
 async fn activation_reaches_every_node_despite(#[case] faults: Faults) {
-    let scene = processes(hosts(4)).await;
+    let scene = start_processes(hosts(4)).await;
     scene.store.set_faults(faults);
     let in_force = scene
-        .put_in_force(preset(0.2), "operator")
+        .activate_preset(preset(0.2), "operator")
         .await
         .expect("accepted");
     until_revision(&scene, in_force.revision.0).await;
@@ -99,7 +99,7 @@
 /// with these settings. The node must learn the preset and the members from peers.
 async fn last_node_learns_from_peers(mut scene: Scene, adjust: impl FnOnce(&mut Settings)) {
     let in_force = scene
-        .put_in_force(preset(0.2), "operator")
+        .activate_preset(preset(0.2), "operator")
         .await
         .expect("accepted");
     until_revision(&scene, in_force.revision.0).await;
@@ -108,14 +108,14 @@
     scene.kill(last).await;
     scene.start_node_with(last, adjust).expect("starts");
     until_revision(&scene, in_force.revision.0).await;
-    scene.until_joined().await;
+    scene.wait_until_joined().await;
 }
 
 /// Guards against a node that starts during an outage of the store and does not learn the preset
 /// and the members from the peers that its settings name.
 #[tokio::test]
 async fn node_that_starts_during_an_outage_learns_from_peers() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     let peers = vec![scene.addresses(0).control, scene.addresses(1).control];
     last_node_learns_from_peers(scene, |settings| settings.peers = peers).await;
 }
@@ -123,7 +123,7 @@
 /// The same where the settings name hosts by another port and give the port of peers separately.
 #[tokio::test]
 async fn node_that_starts_during_an_outage_finds_peers_by_their_hosts() {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     let named = scene.addresses(0);
     last_node_learns_from_peers(scene, |settings| {
         settings.peers = vec![named.announcements];
@@ -141,7 +141,7 @@
 async fn lost_entry_is_written_again(#[case] outage: bool) {
     let mut plan = hosts(1);
     plan.adjust = |settings| settings.control.seeds_every = Duration::from_secs(1);
-    let scene = processes(plan).await;
+    let scene = start_processes(plan).await;
     let key = format!("{SEEDS}{}", scene.hosts[0].name);
     let is_stored = || scene.store.value(&key).is_some();
     wait_for("the entry is stored", is_stored).await;
@@ -158,8 +158,8 @@
 /// must win, and the other must get a conflict that names the winner.
 #[tokio::test]
 async fn concurrent_activations_conflict() {
-    let scene = processes(hosts(2)).await;
-    let store = scene.operator();
+    let scene = start_processes(hosts(2)).await;
+    let store = scene.operator_client();
     for name in ["day", "peak"] {
         let author = author("setup");
         presets::put(&store, name, preset(0.1), None, &author)
@@ -178,13 +178,13 @@
         (Ok(won), Err(lost)) | (Err(lost), Ok(won)) => (won, lost),
         other => panic!("{other:?}"),
     };
-    let Refused::Conflict(found) = lost else {
+    let ChangeError::Conflict(found) = lost else {
         panic!("{lost:?}");
     };
     assert_eq!(found.changed_by, won.changed_by);
     until_revision(&scene, won.revision.0).await;
     scene
-        .until("the winner's preset is in force", |status| {
+        .wait_until("the winner's preset is in force", |status| {
             status.view.in_force.name == won.name
         })
         .await;
@@ -197,8 +197,8 @@
 #[case::denied(Faults { deny_writes: 1, ..Faults::default() })]
 #[tokio::test]
 async fn activation_with_a_lost_reply_is_confirmed(#[case] faults: Faults) {
-    let scene = processes(hosts(2)).await;
-    let store = scene.operator();
+    let scene = start_processes(hosts(2)).await;
+    let store = scene.operator_client();
     presets::put(&store, "day", preset(0.2), None, &author("ana"))
         .await
         .expect("accepted");
@@ -212,8 +212,8 @@
 
 #[tokio::test]
 async fn activation_with_the_store_down_reports_no_change() {
-    let scene = processes(hosts(2)).await;
-    let store = scene.operator();
+    let scene = start_processes(hosts(2)).await;
+    let store = scene.operator_client();
     presets::put(&store, "day", preset(0.2), None, &author("ana"))
         .await
         .expect("accepted");
@@ -222,7 +222,10 @@
         .await
         .unwrap_err();
     assert!(
-        matches!(refused, Refused::Unread(_) | Refused::NotChanged(_)),
+        matches!(
+            refused,
+            ChangeError::ReadFailed(_) | ChangeError::NotChanged(_)
+        ),
         "{refused:?}"
     );
 }
@@ -230,17 +233,17 @@
 /// Guards against an edit of the preset in force that is stored but does not come into force.
 #[tokio::test]
 async fn edit_of_the_preset_in_force_reaches_every_node() {
-    let scene = processes(hosts(2)).await;
+    let scene = start_processes(hosts(2)).await;
     scene
-        .put_in_force(preset(0.2), "ana")
+        .activate_preset(preset(0.2), "ana")
         .await
         .expect("accepted");
-    let store = scene.operator();
+    let store = scene.operator_client();
     let edited = presets::put(&store, "preset", preset(0.3), None, &author("ben")).await;
     let edited = edited.expect("accepted").expect("in force");
     until_revision(&scene, edited.revision.0).await;
     scene
-        .until("the edit is in force", |status| {
+        .wait_until("the edit is in force", |status| {
             (status.view.in_force.preset.retry_share - 0.3).abs() < 1e-9
         })
         .await;
@@ -250,7 +253,7 @@
 /// again or contains an older or invalid preset.
 #[tokio::test]
 async fn stale_or_invalid_presets_change_nothing() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     let (old, _) = put_two_in_force(&scene).await;
     until_revision(&scene, 2).await;
     scene.store.replay(IN_FORCE, &old);
@@ -284,7 +287,7 @@
 #[case::garbage(Some(0))]
 #[tokio::test]
 async fn outdated_store_is_brought_up_to_date(#[case] revision: Option<u64>) {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     let (old, latest) = put_two_in_force(&scene).await;
     until_revision(&scene, latest.revision.0).await;
     match revision {
@@ -299,13 +302,13 @@
     })
     .await;
     let next = scene
-        .put_in_force(preset(0.1), "carl")
+        .activate_preset(preset(0.1), "carl")
         .await
         .expect("accepted");
     assert!(next.revision > latest.revision);
     until_revision(&scene, next.revision.0).await;
     scene
-        .until("carl's preset is in force", |status| {
+        .wait_until("carl's preset is in force", |status| {
             &*status.view.in_force.changed_by == "carl"
         })
         .await;
@@ -315,25 +318,25 @@
 /// resumes while the store is down. It must catch up from its peers.
 #[tokio::test]
 async fn frozen_node_catches_up_from_peers() {
-    let scene = processes(hosts(3)).await;
+    let scene = start_processes(hosts(3)).await;
     scene.process(2).signal(Signal::STOP).expect("frozen");
     scene
-        .put_in_force(preset(0.2), "ana")
+        .activate_preset(preset(0.2), "ana")
         .await
         .expect("accepted");
     scene
-        .put_in_force(preset(0.3), "ben")
+        .activate_preset(preset(0.3), "ben")
         .await
         .expect("accepted");
     scene
-        .until_of(&[0, 1], "in force", |status| {
+        .wait_until_on(&[0, 1], "in force", |status| {
             status.view.in_force.revision.0 >= 2
         })
         .await;
     scene.store.set_faults(down());
     scene.process(2).signal(Signal::CONT).expect("resumed");
     scene
-        .until_of(&[2], "in force", |status| {
+        .wait_until_on(&[2], "in force", |status| {
             status.view.in_force.revision.0 >= 2
         })
         .await;
@@ -347,7 +350,7 @@
 async fn calls_to_a_store_that_is_down_are_limited() {
     let mut plan = hosts(1);
     plan.adjust = |settings| settings.control.seeds_every = Duration::from_millis(500);
-    let scene = processes(plan).await;
+    let scene = start_processes(plan).await;
     let key = format!("{SEEDS}{}", scene.hosts[0].name);
     wait_for("the entry is stored", || scene.store.value(&key).is_some()).await;
     tokio::time::sleep(Duration::from_millis(1500)).await;
--- a/crates/node/tests/restart.rs
+++ b/crates/node/tests/restart.rs
@@ -8,8 +8,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use common::full;
-use mintridge_bench::caller::{Call, Caller, Told};
+use common::full_listener;
+use mintridge_bench::caller::{Call, Caller, Reply};
 use mintridge_core::outcome::{Outcome, Reason};
 use mintridge_node::adapter::Adapter;
 use mintridge_node::announcement::{Announcement, PATH};
@@ -107,25 +107,25 @@
 
 async fn until_open(node: &Node) {
     wait_for("the upstream is known", || {
-        let is_known = !node.context().latest.seen.borrow().is_empty();
+        let is_known = !node.context().latest.upstreams.borrow().is_empty();
         is_known && node.context().latest.guarded.borrow().closed.is_none()
     })
     .await;
 }
 
-async fn call(address: SocketAddr) -> Told {
+async fn call(address: SocketAddr) -> Reply {
     let call = Call {
         timeout: MAX_WAIT,
         ..Call::default()
     };
-    Caller::default().call(address, &call).await.told
+    Caller::default().call(address, &call).await.reply
 }
 
 /// Guards against a restarted upstream that is treated as unhealthy because requests were still
 /// waiting for a connection to its previous start.
 #[tokio::test(flavor = "multi_thread")]
 async fn restart_while_requests_wait_for_a_connection_keeps_the_upstream_healthy() {
-    let (address, _listener, _waiting) = full();
+    let (address, _listener, _waiting) = full_listener();
     let mut settings = settings(address);
     settings.guard.connect_within = MAX_WAIT;
     let node = node::start(settings, Adapter::default()).expect("it starts");
@@ -146,11 +146,11 @@
         timeout: Duration::from_millis(300),
         ..Call::default()
     };
-    let result = Caller::default().call(callers, &call).await.told;
+    let result = Caller::default().call(callers, &call).await.reply;
     assert!(
         matches!(
             result,
-            Told::Refused {
+            Reply::Refused {
                 reason: Reason::Deadline,
                 ..
             }
@@ -184,14 +184,14 @@
 
     let result = interrupted.await.expect("the call ends");
     let is_unknown =
-        matches!(&result, Told::Refused { outcome, .. } if *outcome == Outcome::Unknown);
+        matches!(&result, Reply::Refused { outcome, .. } if *outcome == Outcome::Unknown);
     assert!(is_unknown, "{result:?}");
     assert!(
         started_at.elapsed() < MAX_WAIT,
         "ended only at the deadline"
     );
     assert!(call(callers).await.is_success());
-    node.end();
+    node.terminate();
 }
 
 /// Guards against an upstream that is taken out of service by an announcement that is not its own:
@@ -223,5 +223,5 @@
     for _ in 0..5 {
         assert!(call(callers).await.is_success());
     }
-    node.end();
+    node.terminate();
 }
--- a/crates/node/tests/routes.rs
+++ b/crates/node/tests/routes.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{Plan, ROUTES, Scene, get, processes, route, table, write_table};
-use mintridge_bench::caller::{Call, Told};
+use common::{Plan, ROUTES, Scene, get, route, start_processes, table, write_table};
+use mintridge_bench::caller::{Call, Reply};
 use mintridge_core::outcome::Reason;
 use mintridge_core::route::{Route, Table};
 
@@ -28,7 +28,7 @@
 
 async fn wait_for_version(scene: &Scene, version: u64) {
     scene
-        .until("the version is in force everywhere", |status| {
+        .wait_until("the version is in force everywhere", |status| {
             status.routes_version == version
         })
         .await;
@@ -46,7 +46,7 @@
         },
         ..Plan::default()
     };
-    processes(plan).await
+    start_processes(plan).await
 }
 
 /// Operators add 1,900 routes at once, which makes the table longer than a message between nodes
@@ -102,7 +102,7 @@
         let reply = scene.call(entry, &call).await;
         let has_retry_after = matches!(
             reply,
-            Told::Refused {
+            Reply::Refused {
                 reason: Reason::Unconfigured,
                 retry_after: Some(1),
                 ..
--- a/crates/node/tests/traces.rs
+++ b/crates/node/tests/traces.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
-use common::{Plan, get, hosts, threads};
+use common::{Plan, get, hosts, start_threads};
 use mintridge_bench::caller::Caller;
 use mintridge_standin::scene::Scene;
-use mintridge_standin::upstream::{SEEN_TRACEPARENT, TRACEPARENT};
+use mintridge_standin::upstream::{RECEIVED_TRACEPARENT, TRACEPARENT};
 use rstest::rstest;
 
 const TRACE: &str = "0af7651916cd43dd8448eb211c80319c";
@@ -18,7 +18,7 @@
     let response = caller
         .send(scene.addresses(0).callers, &get("traced"), &headers)
         .await?;
-    let received = response.headers().get(SEEN_TRACEPARENT)?;
+    let received = response.headers().get(RECEIVED_TRACEPARENT)?;
     Some(received.to_str().ok()?.to_owned())
 }
 
@@ -33,7 +33,7 @@
         |_: &mut mintridge_node::settings::Settings| {}
     };
     let plan = Plan { adjust, ..hosts(2) };
-    let scene = threads(plan).await;
+    let scene = start_threads(plan).await;
     let received = upstream_traceparent(&scene, &format!("00-{TRACE}-{SPAN}-01"))
         .await
         .expect("it passes");
