--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -13,7 +13,7 @@
 
 use crate::context::{Context, Stage};
 
-/// Sleep time of the thread when nothing is due.
+/// Sleep time of the thread when no action is due.
 const IDLE_SLEEP: Duration = Duration::from_hours(1);
 
 /// A job that another duty of this node submits.
@@ -23,7 +23,7 @@
     Submit {
         /// Claim to make.
         claim: Claim,
-        /// The answer is useless after this instant.
+        /// The verdict is useless after this instant.
         deadline: Instant,
         /// Receives the verdict.
         verdict_sender: oneshot::Sender<Verdict>,
@@ -42,7 +42,7 @@
     context: Arc<Context>,
     store: Client,
     claims: Claims,
-    answers: HashMap<Ticket, oneshot::Sender<Verdict>>,
+    verdict_senders: HashMap<Ticket, oneshot::Sender<Verdict>>,
     next_ticket: u64,
     lease: Option<Lease>,
     /// Store epoch in which the claims known to this node were made.
@@ -58,7 +58,7 @@
     let mut worker = Worker {
         store: store.with_epochs(context.epochs.clone()),
         claims: Claims::new(settings.claim.clone(), Instant::now()),
-        answers: HashMap::new(),
+        verdict_senders: HashMap::new(),
         next_ticket: 0,
         lease: None,
         epoch: None,
@@ -97,7 +97,7 @@
             } => {
                 let ticket = Ticket(self.next_ticket);
                 self.next_ticket += 1;
-                self.answers.insert(ticket, verdict_sender);
+                self.verdict_senders.insert(ticket, verdict_sender);
                 self.claims.submit(ticket, claim, deadline);
             }
             Job::Release(claim) => self.claims.release(claim),
@@ -110,7 +110,7 @@
             return false;
         };
         match action {
-            Action::Answer(ticket, verdict) => self.answer(ticket, verdict),
+            Action::Answer(ticket, verdict) => self.send_verdict(ticket, verdict),
             Action::Write(claims) => {
                 let written = self.write(&claims).await;
                 self.follow_epoch();
@@ -163,9 +163,9 @@
         }
     }
 
-    fn answer(&mut self, ticket: Ticket, verdict: Verdict) {
+    fn send_verdict(&mut self, ticket: Ticket, verdict: Verdict) {
         self.context.metrics.claim(verdict);
-        if let Some(verdict_sender) = self.answers.remove(&ticket) {
+        if let Some(verdict_sender) = self.verdict_senders.remove(&ticket) {
             let _ = verdict_sender.send(verdict);
         }
     }
@@ -175,7 +175,7 @@
             return Completion::NotApplied;
         };
         let txn = wire::Txn {
-            compare: claims.iter().map(absent).collect(),
+            compare: claims.iter().map(key_is_absent).collect(),
             success: claims.iter().map(|claim| put(claim, lease)).collect(),
             failure: claims.iter().map(range_operation).collect(),
         };
@@ -257,7 +257,7 @@
         .collect()
 }
 
-fn absent(claim: &Claim) -> wire::Compare {
+fn key_is_absent(claim: &Claim) -> wire::Compare {
     wire::Compare {
         key: keys::claim(&claim.key.0).into(),
         target: wire::Target::Create,
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -27,7 +27,7 @@
 /// Members and preset as known to this node.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct View {
-    /// Records of all present hosts, including this one.
+    /// Records of all hosts that are alive or suspected, including this one.
     pub members: Vec<Record>,
     /// The preset in force on this node.
     pub in_force: Arc<InForce>,
@@ -56,7 +56,8 @@
 pub enum Stage {
     /// The node serves requests.
     Serving,
-    /// A stop has been requested. Callers are still served and are told to use another node.
+    /// A stop has been requested. Callers are still served, but their connections are closed after
+    /// the last pending response so that they reconnect to another node.
     Leaving,
     /// No new requests are forwarded to the upstream, and peers are informed. The listener for
     /// callers is closed; requests in progress are finished.
@@ -88,10 +89,10 @@
     pub operators: SocketAddr,
 }
 
-/// Senders of the bounded queues between duties.
+/// Senders of the bounded queues between duties, which settings and metrics call rings.
 #[derive(Debug)]
 pub struct Rings {
-    /// Announcements of the upstream, to the guard.
+    /// Messages of the upstream, to the guard.
     pub announcements: mpsc::Sender<Message>,
     /// Claims on idempotency keys, to the claims thread.
     pub claims: mpsc::Sender<Job>,
@@ -137,7 +138,8 @@
     pub incarnation: u64,
     /// Metrics of this node.
     pub metrics: Metrics,
-    /// Number of times the store has been restored from an older copy.
+    /// Newest epoch received from the store: the number of times the store has been restored from
+    /// an older copy.
     pub epochs: Epochs,
     /// Queues between duties.
     pub rings: Rings,
--- a/crates/node/src/duties.rs
+++ b/crates/node/src/duties.rs
@@ -36,12 +36,12 @@
     pub operators: Socket,
     /// Additional listener for operators, at a fixed address.
     pub metrics: Option<Socket>,
-    /// Receiver of the queue to the guard.
-    pub announced: mpsc::Receiver<Message>,
-    /// Receiver of the queue to the claims thread.
+    /// Messages of the upstream, for the guard.
+    pub messages: mpsc::Receiver<Message>,
+    /// Claims on idempotency keys, for the claims thread.
     pub jobs: mpsc::Receiver<Job>,
-    /// Receiver of the queue to control.
-    pub suspicions: mpsc::Receiver<Event>,
+    /// Events of the guard about requests that crash upstreams, for control.
+    pub quarantine_events: mpsc::Receiver<Event>,
 }
 
 /// A running duty.
@@ -65,9 +65,9 @@
         announcements,
         operators,
         metrics,
-        announced,
+        messages,
         jobs,
-        suspicions,
+        quarantine_events,
     } = inputs;
     Ok(vec![
         spawn("entry", context, move |context| async move {
@@ -77,7 +77,7 @@
         })?,
         spawn("guard", context, move |context| async move {
             let listener = TcpListener::from_std(peers)?;
-            guard::run(context, listener, announced).await;
+            guard::run(context, listener, messages).await;
             Ok(())
         })?,
         spawn("claims", context, move |context| async move {
@@ -86,7 +86,7 @@
         })?,
         spawn("control", context, move |context| async move {
             let listener = TcpListener::from_std(control)?;
-            control::run(context, listener, suspicions).await;
+            control::run(context, listener, quarantine_events).await;
             Ok(())
         })?,
         spawn("announcements", context, move |context| async move {
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -34,7 +34,7 @@
     kind: &'static str,
 }
 
-/// Outcome of reading the settings file again.
+/// Outcome of a reload of the settings file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reload {
     /// The settings differed and were applied.
@@ -54,12 +54,12 @@
     refusals: Family<RefusalLabels, Counter>,
     guard_refusals: Family<RefusalLabels, Counter>,
     retries: Counter,
-    upstream_ends: Counter,
+    upstream_crashes: Counter,
     suspects: Gauge,
     quarantined: Gauge,
-    pace_asked: Counter,
+    pace_polls: Counter,
     reloads: Family<KindLabels, Counter>,
-    store_returns: Counter,
+    store_restores: Counter,
     claims: Family<KindLabels, Counter>,
     store_calls: Family<KindLabels, Counter>,
     probes: Family<KindLabels, Counter>,
@@ -89,12 +89,12 @@
             refusals: Family::default(),
             guard_refusals: Family::default(),
             retries: Counter::default(),
-            upstream_ends: Counter::default(),
+            upstream_crashes: Counter::default(),
             suspects: Gauge::default(),
             quarantined: Gauge::default(),
-            pace_asked: Counter::default(),
+            pace_polls: Counter::default(),
             reloads: Family::default(),
-            store_returns: Counter::default(),
+            store_restores: Counter::default(),
             claims: Family::default(),
             store_calls: Family::default(),
             probes: Family::default(),
@@ -135,7 +135,7 @@
         registry.register("guard_refusals", help, self.guard_refusals.clone());
         registry.register("retries", "Second attempts made", self.retries.clone());
         let help = "Ends of the upstream, unplanned, with requests in progress";
-        registry.register("upstream_ends", help, self.upstream_ends.clone());
+        registry.register("upstream_ends", help, self.upstream_crashes.clone());
         let help = "Requests known under which upstreams ended";
         registry.register("suspects", help, self.suspects.clone());
         let help = "Requests held back because upstreams ended under them";
@@ -146,10 +146,10 @@
         registry.register(
             "pace_asked",
             "Times the upstream was asked how fast its host is",
-            self.pace_asked.clone(),
+            self.pace_polls.clone(),
         );
         let help = "Times the store came back from an older copy";
-        registry.register("store_returns", help, self.store_returns.clone());
+        registry.register("store_returns", help, self.store_restores.clone());
         let help = "Claims on idempotency keys by verdict";
         registry.register("claims", help, self.claims.clone());
         registry.register(
@@ -215,7 +215,7 @@
 
     /// Counts a crash of the upstream with requests in progress.
     pub fn record_upstream_crash(&self) {
-        self.upstream_ends.inc();
+        self.upstream_crashes.inc();
     }
 
     /// Sets the number of requests suspected of crashing upstreams, and how many of them are in
@@ -239,12 +239,12 @@
 
     /// Counts a restore of the store from an older copy.
     pub fn record_store_restore(&self) {
-        self.store_returns.inc();
+        self.store_restores.inc();
     }
 
-    /// Counts a request that asks the upstream for the speed of its host.
+    /// Counts a poll of the upstream for the speed of its host.
     pub fn record_pace_poll(&self) {
-        self.pace_asked.inc();
+        self.pace_polls.inc();
     }
 
     /// Counts a claim on an idempotency key by its verdict.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -70,9 +70,9 @@
         announcements: announcements.1,
         operators: operators.1,
     };
-    let (to_guard, announced) = mpsc::channel(settings.guard.announcements_ring);
+    let (to_guard, messages) = mpsc::channel(settings.guard.announcements_ring);
     let (to_claims, jobs) = mpsc::channel(settings.claims.ring);
-    let (to_control, suspicions) = mpsc::channel(settings.guard.suspicions_ring);
+    let (to_control, quarantine_events) = mpsc::channel(settings.guard.suspicions_ring);
     let rings = Rings {
         announcements: to_guard,
         claims: to_claims,
@@ -101,9 +101,9 @@
         announcements: announcements.0,
         operators: operators.0,
         metrics,
-        announced,
+        messages,
         jobs,
-        suspicions,
+        quarantine_events,
     };
     let duties = duties::start(&context, inputs).change_context(Error::Threads)?;
     log::info!(
@@ -165,9 +165,9 @@
 
     /// Stops gracefully: no request in progress is aborted before `node.stop_within` has passed.
     ///
-    /// 1. Callers are still served and are told to use another node. The upstream still gets new
-    ///    requests: while its node forwards none, its capacity is missing and other upstreams carry
-    ///    its load.
+    /// 1. Callers are still served, but their connections are closed after the last pending
+    ///    response so that they reconnect to another node. The upstream still gets new requests:
+    ///    while its node forwards none, its capacity is missing and other upstreams carry its load.
     /// 2. The node stops forwarding new requests to the upstream and informs its peers. The
     ///    listener for callers closes once their requests in progress are finished.
     /// 3. The listener for peers closes once their requests in progress are finished.
