--- a/crates/node/src/arrival.rs
+++ b/crates/node/src/arrival.rs
@@ -142,7 +142,7 @@
             service,
             client_account,
             deadline,
-            request: request_id,
+            request_id,
             repeatable: claim.is_none() && resolution.repeatable,
             claim,
             priority: resolution.priority,
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -43,7 +43,7 @@
 
 /// Retry delay sent to a caller when no host offers its service.
 const NO_UPSTREAM_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Interval at which the operators' view of the upstreams is refreshed.
+/// Interval at which the operators' view of the upstreams is refreshed and idle links are closed.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// State shared by all requests of the entry.
@@ -144,6 +144,7 @@
     .await;
 }
 
+/// Publishes the upstreams for operators, and closes idle links.
 async fn publish_periodically(entry: Arc<Entry>) {
     loop {
         entry.publish();
@@ -213,7 +214,7 @@
     history.set_fingerprint(fingerprint.head);
     let trial_host = match entry.screen(now, &parsed.head.service, fingerprint) {
         Ok(trial_host) => trial_host,
-        Err(refusal) => return entry.refuse(&refusal, &parsed.head.request),
+        Err(refusal) => return entry.refuse(&refusal, &parsed.head.request_id),
     };
     let outgoing = Outgoing {
         request: parsed,
--- a/crates/node/src/entry/attempt.rs
+++ b/crates/node/src/entry/attempt.rs
@@ -85,7 +85,7 @@
     let opening = async {
         match &gate {
             Some(gate) => {
-                deferred::open_with_slot(&entry, address, &head.request, until, gate).await
+                deferred::open_with_slot(&entry, address, &head.request_id, until, gate).await
             }
             None => pending().await,
         }
--- a/crates/node/src/entry/deferred.rs
+++ b/crates/node/src/entry/deferred.rs
@@ -97,9 +97,10 @@
     }
 }
 
-/// Opens the gate when the node beside the upstream reports that the request has a slot.
+/// Opens the gate when the node beside the upstream responds that the request has a slot or was
+/// refused.
 ///
-/// An error while waiting for that report opens the gate too: the response to the request itself
+/// An error while waiting for that response opens the gate too: the response to the request itself
 /// shows whether the request failed, and a gate that stays closed would block the request until its
 /// deadline. Never returns, so that only the response to the request ends the attempt.
 pub async fn open_with_slot(
--- a/crates/node/src/entry/forward.rs
+++ b/crates/node/src/entry/forward.rs
@@ -33,7 +33,7 @@
 }
 
 /// What to do after an attempt has ended.
-enum Verdict {
+enum NextStep {
     /// Pass this response on to the caller.
     PassOn(Box<(Response<Incoming>, Placed)>),
     /// Try another host.
@@ -63,40 +63,40 @@
         };
         let attempted = attempt(&forwarding.outgoing, &mut placed).await;
         history.record_attempt(placed.log_record(attempted.outcome()));
-        match entry.judge(&mut forwarding, attempted, placed) {
-            Verdict::PassOn(answered) => {
+        match entry.next_step(&mut forwarding, attempted, placed) {
+            NextStep::PassOn(answered) => {
                 let (response, placed) = *answered;
                 return entry.pass_on(response, placed, forwarding.outgoing);
             }
-            Verdict::GiveUp(refusal) => return entry.give_up(forwarding, refusal),
-            Verdict::Retry => {}
+            NextStep::GiveUp(refusal) => return entry.give_up(forwarding, refusal),
+            NextStep::Retry => {}
         }
     }
 }
 
 impl Entry {
     /// Decides what to do after an attempt has ended.
-    fn judge(
+    fn next_step(
         &self,
         forwarding: &mut Forwarding,
         attempted: Attempt,
         mut placed: Placed,
-    ) -> Verdict {
+    ) -> NextStep {
         match attempted {
             Attempt::Answered(response) => {
                 forwarding.attempts.record_handover();
                 if !self.is_failure(&response) {
                     placed.ending = Ending::Answered;
-                    return Verdict::PassOn(Box::new((response, placed)));
+                    return NextStep::PassOn(Box::new((response, placed)));
                 }
                 placed.ending = Ending::Avoid;
                 let may_retry = forwarding.outgoing.trial_host.is_none()
                     && self.may_retry(forwarding, Progress::MayHaveRun);
                 if !may_retry {
-                    return Verdict::PassOn(Box::new((response, placed)));
+                    return NextStep::PassOn(Box::new((response, placed)));
                 }
                 forwarding.failure = Some((response, placed));
-                Verdict::Retry
+                NextStep::Retry
             }
             Attempt::Refused {
                 refusal,
@@ -111,16 +111,16 @@
                 let may_retry = if forwarding.outgoing.trial_host.is_some() {
                     false
                 } else if refusal.never_reached_upstream() {
-                    self.may_ask_another(forwarding, &refusal)
+                    self.may_try_another_host(forwarding, &refusal)
                 } else {
                     forwarding.attempts.record_handover();
                     let may_run_elsewhere = may_have_run || refusal.reason.is_host_specific();
                     may_run_elsewhere && self.may_retry(forwarding, progress)
                 };
                 if may_retry {
-                    Verdict::Retry
+                    NextStep::Retry
                 } else {
-                    Verdict::GiveUp(refusal)
+                    NextStep::GiveUp(refusal)
                 }
             }
         }
@@ -162,9 +162,9 @@
         })
     }
 
-    /// Returns whether another host may be asked after a refusal of a request that reached no
-    /// upstream.
-    fn may_ask_another(&self, forwarding: &mut Forwarding, refusal: &Refusal) -> bool {
+    /// Returns whether another host may be tried after a refusal of a request that reached no
+    /// upstream. Such a further attempt does not use the retry budget.
+    fn may_try_another_host(&self, forwarding: &mut Forwarding, refusal: &Refusal) -> bool {
         let settings = &self.context.live().retry;
         let head = &forwarding.outgoing.request.head;
         let has_untried =
@@ -265,6 +265,6 @@
                 self.context.metrics.ring_full("claims");
             }
         }
-        self.refuse(&refusal, &head.request)
+        self.refuse(&refusal, &head.request_id)
     }
 }
--- a/crates/node/src/guard.rs
+++ b/crates/node/src/guard.rs
@@ -66,18 +66,20 @@
 struct Guard {
     context: Arc<Context>,
     state: Mutex<State>,
+    /// Wakes the task that refuses queued requests which can no longer finish in time.
     queued: Notify,
     reporting: Reporting,
     pace: pace::Pace,
     /// Wakes the task that polls the upstream while requests wait for the end of a slow phase.
     slow_phase_wait: Notify,
-    /// Wakes the task that asks the upstream how long it stays cold.
+    /// Wakes the task that polls the upstream for its remaining cold time.
     warm_up_due: Notify,
     unplaced: Unplaced,
     /// Wakes the task that discovers the upstream's instance.
     discovery_due: Notify,
     upstream: Upstream,
     log: RequestLog,
+    /// Client for probes and health checks, which open a new connection each time.
     prober: Client<HttpConnector, Empty<Bytes>>,
 }
 
@@ -87,8 +89,9 @@
     health: Health,
     /// Budget for probes of a doubtful upstream: a share of the time of one slot.
     probe_budget: probe::Budget,
-    /// Budget for pace polls: the same share of the time of all other slots, so that both budgets
-    /// together stay within that share of the upstream.
+    /// Budget for pace polls, which ask the upstream for its host's current speed: the same share of
+    /// the time of all other slots, so that both budgets together stay within that share of the
+    /// upstream.
     pace_budget: probe::Budget,
     announcement: Option<Announcement>,
     instance: instance::Register,
@@ -160,21 +163,21 @@
 
 async fn serve(guard: Arc<Guard>, head: Head, request: Request<Body>) -> Response<Body> {
     let has_body = !request.body().is_end_stream();
-    let unplaced = has_body.then(|| guard.unplaced.begin(&head.request));
+    let unplaced = has_body.then(|| guard.unplaced.begin(&head.request_id));
     let slot = match admit(&guard, &head).await {
         Ok(slot) => slot,
-        Err(refusal) => return guard.refuse(&refusal, &head.request, false),
+        Err(refusal) => return guard.refuse(&refusal, &head.request_id, false),
     };
     if let Some(claim) = &head.claim
         && let Err(refusal) = guard.claim(claim, head.deadline).await
     {
-        return guard.refuse(&refusal, &head.request, true);
+        return guard.refuse(&refusal, &head.request_id, true);
     }
     drop(unplaced);
     let claimed = head.claim.is_some();
     match hand_over(&guard, slot, &head, request).await {
         Ok(response) => response,
-        Err(refusal) => guard.refuse(&refusal, &head.request, claimed),
+        Err(refusal) => guard.refuse(&refusal, &head.request_id, claimed),
     }
 }
 
@@ -284,13 +287,13 @@
         Refusal::unknown(reason, retry_at)
     }
 
-    fn refuse(&self, refusal: &Refusal, request: &str, claimed: bool) -> Response<Body> {
+    fn refuse(&self, refusal: &Refusal, request_id: &str, claimed: bool) -> Response<Body> {
         let host = self.context.host();
         self.context.metrics.guard_refusal(refusal);
         let now = Instant::now();
-        let mut response = problem::response(now, refusal, host, request, Precision::Millis);
+        let mut response = problem::response(now, refusal, host, request_id, Precision::Millis);
         let report = self.report(now);
-        self.log_refusal(refusal, request, &report);
+        self.log_refusal(refusal, request_id, &report);
         headers::write_load(&report, response.headers_mut());
         if claimed {
             headers::write_claimed(response.headers_mut());
@@ -299,12 +302,12 @@
     }
 
     /// Logs a refusal together with the load it is based on.
-    fn log_refusal(&self, refusal: &Refusal, request: &str, report: &Report) {
+    fn log_refusal(&self, refusal: &Refusal, request_id: &str, report: &Report) {
         if !self.log.try_acquire(1) {
             return;
         }
         log::info!(
-            request = request,
+            request = request_id,
             outcome = refusal.outcome.as_str(),
             reason = refusal.reason.as_str(),
             in_flight = report.in_flight,
--- a/crates/node/src/guard/discovery.rs
+++ b/crates/node/src/guard/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovers the upstream beside the node through its health check, before it announces itself.
+//! Discovers the upstream beside the node by a health check, before the upstream announces itself.
 //!
 //! Failure: the node restarts while its upstream keeps running. Symptom: until the next
 //! announcement, a second or more, the upstream is idle and the others carry its load.
@@ -15,14 +15,14 @@
 use super::Guard;
 use crate::announcement::Announcement;
 
-/// Timeout of a health check and pause before the next one: a few fit in before the next
-/// announcement is due.
+/// Timeout of a health check, and delay before the next one. Several health checks fit into the
+/// interval between two announcements.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Maximum number of health checks: an upstream that answers none of them over two seconds is down
-/// and announces itself when it is back.
+/// and announces itself once it runs again.
 const MAX_CHECKS: u32 = 10;
 
-/// Runs a discovery at startup and whenever a different instance than expected answers.
+/// Runs a discovery at startup and after each response of an instance other than the expected one.
 pub async fn run(guard: Arc<Guard>) {
     let Some(address) = guard.context.settings.upstream.address else {
         return;
--- a/crates/node/src/guard/follow.rs
+++ b/crates/node/src/guard/follow.rs
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc;
 
 use super::{Guard, State};
-use crate::announcement::{Announcement, Message, State as Announced};
+use crate::announcement::{Announcement, Message, State as UpstreamState};
 use crate::context::Stage;
 
 /// Interval at which the gate's timers are checked and the state is published to other tasks.
@@ -24,8 +24,8 @@
     tokio::spawn(tick(Arc::clone(guard)));
 }
 
-async fn apply_messages(guard: Arc<Guard>, mut ring: mpsc::Receiver<Message>) {
-    while let Some(message) = ring.recv().await {
+async fn apply_messages(guard: Arc<Guard>, mut messages: mpsc::Receiver<Message>) {
+    while let Some(message) = messages.recv().await {
         match message {
             Message::Announced(announcement) => guard.apply_announcement(announcement),
             Message::Leaving { instance, born } => guard.apply_leaving(&instance, born),
@@ -83,7 +83,7 @@
         }
         state
             .gate
-            .record_announcement(now, announcement.state == Announced::Draining);
+            .record_announcement(now, announcement.state == UpstreamState::Draining);
         state.admission.set_slots(announcement.slots.max(1));
         state
             .admission
@@ -95,8 +95,8 @@
         state.announcement = Some(announcement);
     }
 
-    /// Resets the state after a restart of the upstream: measurements of the previous start no
-    /// longer hold, and its requests in progress are lost.
+    /// Resets the state after a restart of the upstream: measurements of its previous incarnation
+    /// no longer apply, and the requests in progress are lost.
     pub(super) fn reset_after_restart(&self, state: &mut State) {
         self.record_crash_before_restart(state);
         state.admission.reset_after_restart();
@@ -149,7 +149,7 @@
     }
 }
 
-/// Applies each settings file that was accepted.
+/// Applies each newly accepted version of the settings file.
 async fn follow_settings(guard: Arc<Guard>) {
     let mut settings = guard.context.latest.settings.subscribe();
     while settings.changed().await.is_ok() {
@@ -171,8 +171,9 @@
     }
 }
 
-/// Reopens the gate after a pause of the process, once a refresh has completed. The refresh may
-/// have changed the view, which must be applied before the gate opens.
+/// Reopens the gate after a pause of the process, once a refresh (an exchange with a peer or a read
+/// of the store) has completed. The refresh may have changed the view, which must be applied before
+/// the gate opens.
 async fn follow_refreshes(guard: Arc<Guard>) {
     let mut refreshed = guard.context.latest.refreshed.subscribe();
     while refreshed.changed().await.is_ok() {
--- a/crates/node/src/guard/hand_over.rs
+++ b/crates/node/src/guard/hand_over.rs
@@ -63,7 +63,7 @@
             if matches!(error, upstream::Error::Broken(_)) {
                 guard.check_for_crash(&run, address);
             }
-            return Err(guard.record_failure(now, &error, time_left, &head.request, &digest));
+            return Err(guard.record_failure(now, &error, time_left, &head.request_id, &digest));
         }
     };
     guard.observe_load(now, guard.upstream.load(&parts.headers).as_ref());
@@ -83,8 +83,8 @@
     /// Checks once more that the request may run, immediately before it is sent.
     ///
     /// Failure: the process is paused between admission and here, or the claim took long. Symptom:
-    /// a request runs after its caller was told that it may not have run, or on a host that left
-    /// long ago. The monotonic clock shows the pause.
+    /// a request runs after its caller was told that it may not have run, or on a host that has
+    /// long since left the cluster. The monotonic clock shows the pause.
     fn check_hand_over(&self, now: Instant, head: &Head) -> Result<SocketAddr, Refusal> {
         let mut state = self.state.lock();
         if now >= head.deadline {
@@ -141,7 +141,7 @@
         now: Instant,
         error: &upstream::Error,
         waited: Duration,
-        request: &str,
+        request_id: &str,
         digest: &Digest,
     ) -> Refusal {
         let verdict = match error {
@@ -157,7 +157,7 @@
         self.record_verdict(now, verdict);
         if self.log.try_acquire(1) {
             log::info!(
-                request = request,
+                request = request_id,
                 fingerprint:% = digest.fingerprint(),
                 error:% = error;
                 "upstream did not answer"
--- a/crates/node/src/guard/pace.rs
+++ b/crates/node/src/guard/pace.rs
@@ -1,9 +1,9 @@
 //! Polls the upstream for its host's current speed when there is no recent report.
 //!
-//! A request that starts on a slow host stays slow until it ends, so a report that is older than
-//! one phase of the host's speed is useless. Under load each response carries a report. With little
+//! A request that starts on a slow host stays slow until it ends, and a host is slow for phases of
+//! some hundred milliseconds, so a report that is older than one phase is useless. Under load each response carries a report. With little
 //! traffic, the guard polls the upstream before it starts a request, over a connection that is
-//! already open and within the measuring budget. Without budget, it uses the last report.
+//! already open and within the budget for pace polls. Without budget, it uses the last report.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -37,7 +37,7 @@
     }
 }
 
-/// Polls the upstream for its pace and its warm-up. Returns false without budget or without a
+/// Polls the upstream for its host's speed (the pace) and its remaining cold time. Returns false without budget or without a
 /// response from the current instance.
 pub async fn poll(guard: &Guard, timeout: Duration) -> bool {
     let started_at = Instant::now();
@@ -61,11 +61,11 @@
             guard.record_warm_up(started_at, now, &parts)
         }
         Ok(Err(error)) => {
-            log::debug!(error:% = error; "health check failed");
+            log::debug!(error:% = error; "poll of the upstream failed");
             false
         }
         Err(_) => {
-            log::debug!("health check timed out");
+            log::debug!("poll of the upstream timed out");
             false
         }
     }
--- a/crates/node/src/guard/screening.rs
+++ b/crates/node/src/guard/screening.rs
@@ -110,7 +110,7 @@
             return Err(refusal);
         }
         log::warn!(
-            request = &*head.request,
+            request = &*head.request_id,
             fingerprint:% = fingerprint;
             "started a trial of a quarantined request"
         );
@@ -128,13 +128,13 @@
         quarantine::trial_host(fingerprint, hosts) == Some(self.context.host())
     }
 
-    /// Sends an event to control; returns false if the ring is full.
+    /// Sends an event to control; returns false if the queue is full.
     pub(super) fn report_event(&self, event: Event) -> bool {
         let sent = self.context.rings.quarantine_events.try_send(event).is_ok();
         if !sent {
             self.context.metrics.ring_full("suspicions");
             if self.log.try_acquire(1) {
-                log::warn!("ring to control is full; dropped a crash, answer or trial event");
+                log::warn!("queue to control is full; dropped a crash, answer or trial event");
             }
         }
         sent
--- a/crates/node/src/guard/warm_up.rs
+++ b/crates/node/src/guard/warm_up.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Records the remaining cold time from the response to a health check that was sent at
+    /// Records the remaining cold time from the response to a poll that was sent at
     /// `sent_at`. Returns false if it comes from an instance other than the current one. A response
     /// without the header comes from a warm upstream.
     pub(super) fn record_warm_up(&self, sent_at: Instant, now: Instant, parts: &Parts) -> bool {
--- a/crates/node/src/request_log.rs
+++ b/crates/node/src/request_log.rs
@@ -54,6 +54,7 @@
         true
     }
 
+    /// Counts a request that did not fail, and returns whether to log it.
     fn sample(&self) -> bool {
         let request_count = self.request_count.fetch_add(1, Ordering::Relaxed);
         let sample_one_in = self.sample_one_in.load(Ordering::Relaxed);
@@ -70,7 +71,7 @@
     pub report: Report,
     /// Age of that load report.
     pub report_age: Duration,
-    /// Whether the host was told to refuse the request if it would miss its target.
+    /// Whether the host had to refuse the request if it would miss its target.
     pub only_in_time: bool,
     /// Outcome of the attempt.
     pub outcome: &'static str,
@@ -84,7 +85,7 @@
 #[derive(Debug)]
 pub struct History {
     log: Arc<RequestLog>,
-    request: Arc<str>,
+    request_id: Arc<str>,
     arrived_at: Instant,
     service: Option<Arc<str>>,
     /// Digest of the request without its body; repeats of the request have the same one.
@@ -98,10 +99,10 @@
 impl History {
     /// Starts the history of a request that has arrived.
     #[must_use]
-    pub fn new(log: &Arc<RequestLog>, now: Instant, request: &Arc<str>) -> Self {
+    pub fn new(log: &Arc<RequestLog>, now: Instant, request_id: &Arc<str>) -> Self {
         Self {
             log: Arc::clone(log),
-            request: Arc::clone(request),
+            request_id: Arc::clone(request_id),
             arrived_at: now,
             service: None,
             fingerprint: 0,
@@ -113,8 +114,8 @@
     }
 
     /// Sets the request's id, which may be the caller's own.
-    pub fn set_request_id(&mut self, request: &Arc<str>) {
-        self.request = Arc::clone(request);
+    pub fn set_request_id(&mut self, request_id: &Arc<str>) {
+        self.request_id = Arc::clone(request_id);
     }
 
     /// Sets the version of the routing table that routes the request; 0 without a table.
@@ -157,7 +158,7 @@
             self.write_attempt(index + 1, attempt);
         }
         log::info!(
-            request = &*self.request,
+            request = &*self.request_id,
             service = self.service.as_deref().unwrap_or(""),
             fingerprint = format!("{:016x}", self.fingerprint),
             routes_version = self.routes_version,
@@ -173,7 +174,7 @@
     fn write_attempt(&self, number: usize, attempt: &Attempt) {
         let offset = attempt.started_at.duration_since(self.arrived_at);
         log::info!(
-            request = &*self.request,
+            request = &*self.request_id,
             attempt = number,
             to = &*attempt.host,
             after_ms = millis(offset),
