--- a/crates/node/src/announcement.rs
+++ b/crates/node/src/announcement.rs
@@ -45,7 +45,7 @@
     /// State of the upstream.
     #[serde(default)]
     pub state: State,
-    /// How much longer the upstream can take only the request rate of a cold one.
+    /// Remaining time for which the upstream is cold and can handle only a reduced request rate.
     #[serde(
         default,
         with = "humantime_serde",
@@ -125,7 +125,7 @@
     Arc::from("/health")
 }
 
-/// Serves the announcement endpoint and passes messages to the guard through its ring buffer.
+/// Serves the announcement endpoint and passes messages to the guard through a bounded queue.
 pub async fn run(context: Arc<Context>, listener: TcpListener) {
     let phase = context.control_phase();
     let limits = server::Limits {
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -55,8 +55,8 @@
     in_progress: Arc<AtomicUsize>,
 }
 
-/// Builds the request that asks a peer whether a caller's request has a slot; `None` if it cannot be
-/// built.
+/// Builds the request that a peer answers once the caller's request with this id has a slot or has
+/// been refused; `None` if it cannot be built.
 #[must_use]
 pub fn slot_request(request_id: &str) -> Option<Request<Body>> {
     let mut request = Request::builder()
@@ -101,6 +101,8 @@
         self.activity.lock().received_at = Some(Instant::now());
     }
 
+    /// Returns whether something was received at or after `since`; `None` stands for an instant
+    /// before the start of the clock.
     fn has_received_since(&self, since: Option<Instant>) -> bool {
         since.is_none_or(|since| {
             self.activity
@@ -144,7 +146,7 @@
         entries.len()
     }
 
-    /// Sends a request and waits for the head of the response until `until`.
+    /// Sends a request and waits for the head of the response until the deadline.
     ///
     /// A timeout while waiting for the link and one while waiting for the response are separate
     /// errors, because a request whose deadline passed before it was sent certainly did not run.
@@ -155,14 +157,14 @@
         &self,
         address: SocketAddr,
         request: Request<Body>,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Response<Incoming>, Error> {
-        let until = until.into();
+        let deadline = deadline.into();
         let entry = self.entry(address);
-        let ready = tokio::time::timeout_at(until, self.ready(&entry, address)).await;
+        let ready = tokio::time::timeout_at(deadline, self.ready(&entry, address)).await;
         let mut link = ready.map_err(|_| Error::NoLinkInTime)??;
         let _in_progress = CountGuard::new(Arc::clone(&link.in_progress));
-        let sent = tokio::time::timeout_at(until, link.sender.try_send_request(request)).await;
+        let sent = tokio::time::timeout_at(deadline, link.sender.try_send_request(request)).await;
         match sent.map_err(|_| Error::Unanswered)? {
             Ok(response) => {
                 entry.record_received();
--- a/crates/node/src/replay.rs
+++ b/crates/node/src/replay.rs
@@ -34,11 +34,12 @@
     max_bytes: usize,
     /// Whether the body cannot be sent again: too much of it was read, or reading it failed.
     unreplayable: bool,
+    /// Whether the body has been read to its end.
     ended: bool,
     /// Number of the latest attempt.
     attempt: u32,
     /// Whether the request has ended.
-    released: bool,
+    request_ended: bool,
     /// Superseded attempts that wait for the end of the request.
     stalled: Vec<Waker>,
 }
@@ -67,7 +68,7 @@
                 unreplayable: false,
                 ended,
                 attempt: 0,
-                released: false,
+                request_ended: false,
                 stalled: Vec::new(),
             })),
         }
@@ -103,7 +104,7 @@
 impl Drop for Source {
     fn drop(&mut self) {
         let mut shared = self.shared.lock();
-        shared.released = true;
+        shared.request_ended = true;
         shared.stalled.drain(..).for_each(Waker::wake);
     }
 }
@@ -161,7 +162,7 @@
 impl Shared {
     /// Leaves a superseded attempt pending until the request ends, then fails it.
     fn stall<T>(&mut self, cx: &Context<'_>) -> Poll<Option<Result<T, io::Error>>> {
-        if self.released {
+        if self.request_ended {
             return Poll::Ready(Some(Err(io::Error::other(Superseded))));
         }
         if !self.stalled.iter().any(|waker| waker.will_wake(cx.waker())) {
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -27,8 +27,8 @@
 use crate::adapter::Adapter;
 use crate::configs;
 
-/// Idle connections are discarded this long before the upstream has announced to close them,
-/// because a request that is sent while the upstream closes the connection is lost.
+/// Idle connections are discarded this long before the timeout in the upstream's `Keep-Alive`
+/// header, because a request that is sent while the upstream closes the connection is lost.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);
 
 /// Reason for which no response was received.
@@ -93,7 +93,7 @@
     adapter: Adapter,
     idle: Arc<Mutex<Vec<Connection>>>,
     /// Number of restarts of the upstream that were detected.
-    starts: watch::Sender<u64>,
+    restarts: watch::Sender<u64>,
 }
 
 type Sender = http1::SendRequest<Body>;
@@ -134,7 +134,7 @@
             max_idle: settings.guard.idle_connections_most,
             adapter,
             idle: Arc::default(),
-            starts: watch::Sender::new(0),
+            restarts: watch::Sender::new(0),
         }
     }
 
@@ -145,7 +145,7 @@
     /// incarnation stay open without any traffic, and requests on them wait until their deadline.
     pub fn reset_after_restart(&self) {
         self.idle.lock().clear();
-        self.starts.send_modify(|starts| *starts += 1);
+        self.restarts.send_modify(|restarts| *restarts += 1);
     }
 
     /// Sends a request and waits for its response until the deadline.
@@ -163,20 +163,20 @@
         deadline: Instant,
     ) -> Result<Received, Error> {
         let deadline = deadline.into();
-        let mut starts = self.starts.subscribe();
+        let mut restarts = self.restarts.subscribe();
         let acquiring = tokio::time::timeout_at(deadline, self.acquire(address));
         let connection = tokio::select! {
             acquired = acquiring => acquired.map_err(|_| Error::NoConnectionInTime)??,
-            _ = starts.changed() => return Err(Error::Restarted { sent: false }),
+            _ = restarts.changed() => return Err(Error::Restarted { sent: false }),
         };
-        let exchanging = tokio::time::timeout_at(deadline, self.exchange(connection, request));
+        let sending = tokio::time::timeout_at(deadline, self.send_on(connection, request));
         tokio::select! {
-            received = exchanging => received.map_err(|_| Error::Unanswered)?,
-            _ = starts.changed() => Err(Error::Restarted { sent: true }),
+            received = sending => received.map_err(|_| Error::Unanswered)?,
+            _ = restarts.changed() => Err(Error::Restarted { sent: true }),
         }
     }
 
-    async fn exchange(
+    async fn send_on(
         &self,
         mut connection: Connection,
         request: Request<Body>,
