--- a/crates/standin/src/bin/trial.rs
+++ b/crates/standin/src/bin/trial.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// Services of the two deployments and their number of hosts.
+/// Services of the two simulated deployments, each with its number of hosts.
 const PRESSE: [(&str, usize); 2] = [("field-service", 9), ("parts", 3)];
 const WISLA: [(&str, usize); 2] = [("lots", 7), ("settlement", 4)];
 
@@ -168,12 +168,12 @@
     let calls = scene.store.calls();
     let before = Cost::read(&scene).await;
     tokio::time::sleep(Duration::from_secs(seconds)).await;
-    let spent = Cost::read(&scene).await.since(&before);
+    let usage = Cost::read(&scene).await.since(&before);
     let calls = cost::calls_since(&scene.store.calls(), &calls);
     println!(
         "members {members:>4}: {}, store calls/s {:.2}",
-        spent.per_node(),
-        calls / spent.seconds()
+        usage.per_node(),
+        calls / usage.seconds()
     );
 }
 
@@ -211,15 +211,15 @@
             |_| {},
         )
         .await;
-        let spent = Cost::read(&scene).await.since(&before);
+        let usage = Cost::read(&scene).await.since(&before);
         println!(
             "{name}, {rate} calls/s a node: {}",
             added_latency(&direct, &routed)
         );
         println!(
             "  {}, processor us a call {:.0}",
-            spent.per_node(),
-            spent.micros_per(routed.sent())
+            usage.per_node(),
+            usage.micros_per(routed.sent())
         );
     }
 }
@@ -286,7 +286,11 @@
     let load_task = tokio::spawn(async move { load::run(&load, |_| {}).await });
     tokio::time::sleep(Duration::from_secs(4)).await;
     let busy = Cost::read(&scene).await;
-    let open: u64 = scene.hosts.iter().map(|s| s.upstream.counts().open).sum();
+    let open: u64 = scene
+        .hosts
+        .iter()
+        .map(|host| host.upstream.counts().open)
+        .sum();
     let added_bytes = busy.resident_bytes.saturating_sub(idle.resident_bytes);
     println!(
         "at rest {} a node; {open} requests in progress take {} KiB over both nodes",
--- a/crates/standin/src/cost.rs
+++ b/crates/standin/src/cost.rs
@@ -9,7 +9,8 @@
 /// Clock ticks per second in `/proc`, fixed on Linux.
 const TICKS_PER_SECOND: u64 = 100;
 
-/// Sums over all node processes, and the byte counter of the loopback device.
+/// Counters at one moment: sums over all node processes, and the bytes that the loopback device
+/// has received.
 #[derive(Clone, Debug)]
 pub struct Cost {
     read_at: Instant,
@@ -33,7 +34,7 @@
 }
 
 impl Cost {
-    /// Reads the kernel's counters.
+    /// Reads the kernel's counters, and the nodes' own counters of exchange bytes.
     pub async fn read(scene: &Scene) -> Self {
         let mut cost = Self {
             read_at: Instant::now(),
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -17,7 +17,7 @@
 /// many requests fail.
 const MAX_LOG_LINES: usize = 10_000;
 
-/// A running process; killed when dropped.
+/// A running node process; killed when dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
@@ -27,7 +27,8 @@
 }
 
 impl Process {
-    /// Starts the node binary and reads its listening addresses from its log.
+    /// Starts the node binary, waits for its start message and reads its listening addresses from
+    /// it.
     ///
     /// # Errors
     /// If the process does not start.
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -37,6 +37,7 @@
 #[derive(Debug)]
 pub struct Relay {
     condition: watch::Sender<Condition>,
+    /// Set to true to stall the open connections, then replaced for new ones.
     stalled: Mutex<watch::Sender<bool>>,
     forwarded_bytes: AtomicUsize,
 }
--- a/crates/standin/src/scene.rs
+++ b/crates/standin/src/scene.rs
@@ -273,8 +273,8 @@
         Ok(())
     }
 
-    /// Waits until every node's membership table has every host with its upstream, and the node's
-    /// entry knows every upstream.
+    /// Waits until every node's membership table has every host with its upstream, and every node
+    /// can place requests on every upstream.
     ///
     /// # Panics
     /// If the condition isn't met within a minute.
--- a/crates/standin/src/soak.rs
+++ b/crates/standin/src/soak.rs
@@ -108,7 +108,7 @@
         None => Vec::new(),
     };
     recover(&mut fleet, settings, &mut violations).await?;
-    violations.append(&mut fleet.versions.violations);
+    violations.append(&mut fleet.revisions.violations);
     let runs = runs(&fleet);
     violations.extend(promises::check_answers(&records, &runs));
     violations.extend(promises::check_repeats(
@@ -172,7 +172,7 @@
         }
         active = remaining;
         fleet.poll(violations).await?;
-        fleet.poll_versions().await;
+        fleet.poll_revisions().await;
         tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
--- a/crates/standin/src/soak/fleet.rs
+++ b/crates/standin/src/soak/fleet.rs
@@ -13,7 +13,7 @@
 
 use super::callers::Targets;
 use super::plan::{Entry, Event};
-use super::promises::{COLD_RATE, Leaving, Versions, Violation};
+use super::promises::{COLD_RATE, Leaving, Revisions, Violation};
 use crate::relay::{Condition, Relay};
 use crate::scene::{Error, Plan, RunningNode, Scene, loopback};
 use crate::store::Faults;
@@ -38,7 +38,7 @@
     /// Caller addresses of the nodes.
     pub targets: Targets,
     /// Preset revisions in force on the nodes.
-    pub versions: Versions,
+    pub revisions: Revisions,
     networks: Vec<Network>,
     /// Hosts whose node got SIGTERM and is started again once its process has ended.
     stopping: Vec<usize>,
@@ -73,7 +73,7 @@
         let mut fleet = Self {
             scene,
             targets: Targets::default(),
-            versions: Versions::default(),
+            revisions: Revisions::default(),
             networks: Vec::new(),
             stopping: Vec::new(),
             leaving: Vec::new(),
@@ -127,6 +127,7 @@
         Ok(())
     }
 
+    /// Relays the peer address of a started node, and adds the node to the targets of the load.
     fn attach(&mut self, index: usize, listener: tokio::net::TcpListener) {
         let addresses = self.scene.addresses(index);
         let network = &mut self.networks[index];
@@ -232,9 +233,9 @@
             retry_share: f64::from(self.preset_changes % 10) / 100.0,
             ..Preset::default()
         };
-        let mark = format!("change-{}", self.preset_changes);
-        if let Err(error) = self.scene.activate_preset(preset, &mark).await {
-            eprintln!("{mark} not accepted: {error}");
+        let change_id = format!("change-{}", self.preset_changes);
+        if let Err(error) = self.scene.activate_preset(preset, &change_id).await {
+            eprintln!("{change_id} not accepted: {error}");
         }
     }
 
@@ -268,7 +269,7 @@
     }
 
     /// Reads the preset revision in force from every node that responds in time.
-    pub async fn poll_versions(&mut self) {
+    pub async fn poll_revisions(&mut self) {
         for index in 0..self.scene.hosts.len() {
             if !self.is_up(index) {
                 continue;
@@ -278,7 +279,7 @@
             let status = tokio::time::timeout(Duration::from_millis(100), status).await;
             if let Ok(Some(status)) = status {
                 let revision = status.view.in_force.revision.0;
-                self.versions.record(&status.host, process, revision);
+                self.revisions.record(&status.host, process, revision);
             }
         }
     }
--- a/crates/standin/src/soak/promises.rs
+++ b/crates/standin/src/soak/promises.rs
@@ -196,24 +196,24 @@
 
 /// Preset revisions in force on the nodes, as observed from outside.
 #[derive(Debug, Default)]
-pub struct Versions {
+pub struct Revisions {
     newest: HashMap<(String, u32), u64>,
     /// Reversals that were observed.
     pub violations: Vec<Violation>,
 }
 
-impl Versions {
+impl Revisions {
     /// Records the revision that a process of a host reports.
-    pub fn record(&mut self, host: &str, process: u32, version: u64) {
+    pub fn record(&mut self, host: &str, process: u32, revision: u64) {
         let newest = self.newest.entry((host.to_owned(), process)).or_default();
-        if version < *newest {
+        if revision < *newest {
             self.violations.push(Violation::Reverted {
                 host: host.to_owned(),
                 before: *newest,
-                after: version,
+                after: revision,
             });
         }
-        *newest = version.max(*newest);
+        *newest = revision.max(*newest);
     }
 }
 
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -14,7 +14,7 @@
 
 pub use self::serving::run;
 
-/// Path that replaces the faults in force.
+/// Path at which a request replaces the injected faults.
 pub const FAULTS: &str = "/standin/faults";
 /// Path that returns the call counters.
 pub const CALLS: &str = "/standin/calls";
@@ -62,6 +62,7 @@
 pub struct Store {
     inner: Mutex<Inner>,
     events: broadcast::Sender<wire::KeyValue>,
+    /// Incremented to close all open watches.
     watch_cuts: watch::Sender<u64>,
 }
 
@@ -70,6 +71,7 @@
     faults: Faults,
     calls: Calls,
     data: Data,
+    /// Keys that reads return while [`Faults::stale_reads`] is set.
     snapshot: Option<BTreeMap<Vec<u8>, wire::KeyValue>>,
     backup: Option<Data>,
     /// Number of restores from a backup.
@@ -101,7 +103,7 @@
 }
 
 impl Store {
-    /// Replaces the faults in force.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         let mut inner = self.inner.lock();
         inner.snapshot = faults.stale_reads.then(|| {
@@ -131,14 +133,14 @@
         let _ = self.events.send(changed);
     }
 
-    /// Deletes a key without the API.
+    /// Deletes a key without the API; watches get no event.
     pub fn remove(&self, key: &str) {
         let data = &mut self.inner.lock().data;
         data.keys.remove(key.as_bytes());
         data.revision += 1;
     }
 
-    /// Deletes all keys that begin with `prefix` without the API.
+    /// Deletes all keys that begin with `prefix` without the API; watches get no event.
     pub fn remove_all(&self, prefix: &str) {
         let data = &mut self.inner.lock().data;
         data.keys
@@ -174,7 +176,7 @@
         });
     }
 
-    /// Returns the values written since the start revision of a watch.
+    /// Returns the watched keys that were written since the start revision of a watch.
     fn missed_changes(&self, request: &wire::WatchCreate) -> Vec<wire::KeyValue> {
         let inner = self.inner.lock();
         if request.start_revision == 0 || inner.faults.silent_watches {
--- a/crates/standin/src/store/serving.rs
+++ b/crates/standin/src/store/serving.rs
@@ -130,6 +130,7 @@
     reply::json(StatusCode::OK, &reply)
 }
 
+/// Uses up one of the writes that a fault counts; returns false if none is left.
 fn try_consume(store: &Store, field: impl Fn(&mut Faults) -> &mut u32) -> bool {
     let mut inner = store.inner.lock();
     let remaining = field(&mut inner.faults);
--- a/crates/standin/src/supervisor.rs
+++ b/crates/standin/src/supervisor.rs
@@ -1,5 +1,5 @@
-//! Emulates an upstream in its own process: a crash drops all requests in progress at once, nothing
-//! listens at its address for a while, and then it starts again at the same address.
+//! Emulates the process of an upstream in a thread: a crash drops all requests in progress at once,
+//! nothing listens at its address for a while, and then it starts again at the same address.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -44,7 +44,7 @@
 pub const HEALTH: &str = "/health";
 /// Prefix of paths whose response body has the given number of bytes, as in `/bytes/1000`.
 pub const BYTES: &str = "/bytes/";
-/// Path for tests of crashes; it has an effect only if [`Behaviour::crashes_on`] is set to it.
+/// Path that tests of crashes set as [`Behaviour::crashes_on`]; otherwise it is an ordinary path.
 pub const CRASHES: &str = "/crashes";
 /// Path that returns the refusal of a nested call, as an upstream does that forwards it unchanged.
 pub const NESTED_REFUSAL: &str = "/deeper";
--- a/crates/standin/tests/soak.rs
+++ b/crates/standin/tests/soak.rs
@@ -10,7 +10,7 @@
 use mintridge_standin::soak::callers::{Record, Repeat};
 use mintridge_standin::soak::plan::{Event, Mode, draw};
 use mintridge_standin::soak::promises::{
-    LEAVE_TIMEOUT, Leaving, Versions, Violation, check_answers, check_cold_upstreams,
+    LEAVE_TIMEOUT, Leaving, Revisions, Violation, check_answers, check_cold_upstreams,
     check_planned_work, check_repeats,
 };
 use rstest::rstest;
@@ -58,10 +58,10 @@
 #[rstest]
 #[case::own_answer(Method::POST, answer_of("a"), 1, None)]
 #[case::not_run(Method::POST, refused(Outcome::NotRun), 0, None)]
-#[case::unknown_ran(Method::POST, refused(Outcome::Unknown), 1, None)]
-#[case::repeatable_twice(Method::GET, answer_of("a"), 2, None)]
-#[case::unrepeatable_twice(Method::POST, answer_of("a"), 2, Some(Violation::RanTwice { id: id(), runs: 2 }))]
-#[case::not_run_ran(Method::GET, refused(Outcome::NotRun), 1, Some(Violation::RanDespiteNotRun { id: id() }))]
+#[case::unknown_and_ran(Method::POST, refused(Outcome::Unknown), 1, None)]
+#[case::idempotent_twice(Method::GET, answer_of("a"), 2, None)]
+#[case::non_idempotent_twice(Method::POST, answer_of("a"), 2, Some(Violation::RanTwice { id: id(), runs: 2 }))]
+#[case::not_run_but_ran(Method::GET, refused(Outcome::NotRun), 1, Some(Violation::RanDespiteNotRun { id: id() }))]
 #[case::foreign(Method::GET, answer_of("b"), 1, Some(Violation::ForeignAnswer { id: id() }))]
 fn check_answers_reports(
     #[case] method: Method,
@@ -78,11 +78,11 @@
 #[case::answered(answer_of("a"), 1, 1, 0)]
 #[case::refused(refused(Outcome::NotRun), 0, 1, 0)]
 #[case::process_gone(Reply::NoConnection, 0, 1, 0)]
-#[case::cut_while_it_ran(Reply::Broken { begun: false }, 1, 1, 1)]
+#[case::closed_while_it_ran(Reply::Broken { begun: false }, 1, 1, 1)]
 #[case::closed_unanswered(Reply::Broken { begun: false }, 0, 1, 1)]
-#[case::cut_again_and_again(Reply::Broken { begun: false }, 0, 3, 3)]
-#[case::cut_midway(Reply::Broken { begun: true }, 0, 1, 1)]
-#[case::silence(Reply::TimedOut, 0, 1, 1)]
+#[case::closed_unanswered_three_times(Reply::Broken { begun: false }, 0, 3, 3)]
+#[case::broken_off_midway(Reply::Broken { begun: true }, 0, 1, 1)]
+#[case::timed_out(Reply::TimedOut, 0, 1, 1)]
 #[case::unknown(refused(Outcome::Unknown), 0, 1, 1)]
 fn check_planned_work_reports(
     #[case] result: Reply,
@@ -122,19 +122,19 @@
 }
 
 #[test]
-fn versions_report_a_reversal_within_one_process() {
-    let mut versions = Versions::default();
-    for (process, version) in [(1, 3), (1, 4), (2, 0), (2, 4)] {
-        versions.record("h", process, version);
+fn revisions_report_a_reversal_within_one_process() {
+    let mut revisions = Revisions::default();
+    for (process, revision) in [(1, 3), (1, 4), (2, 0), (2, 4)] {
+        revisions.record("h", process, revision);
     }
-    assert_eq!(versions.violations, []);
-    versions.record("h", 2, 3);
+    assert_eq!(revisions.violations, []);
+    revisions.record("h", 2, 3);
     let reverted = Violation::Reverted {
         host: String::from("h"),
         before: 4,
         after: 3,
     };
-    assert_eq!(versions.violations, [reverted]);
+    assert_eq!(revisions.violations, [reverted]);
 }
 
 #[test]
