--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -27,7 +27,7 @@
     pub service: String,
     /// Client account on whose behalf the request is made.
     pub client_account: String,
-    /// Method; a POST request is unrepeatable.
+    /// Method; POST requests are the non-idempotent ones.
     pub method: Method,
     /// Request path.
     pub path: String,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Outcome of a request as its caller saw it.
+/// Outcome of a request as observed by its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// A complete response of the upstream.
--- a/crates/bench/src/flags.rs
+++ b/crates/bench/src/flags.rs
@@ -16,7 +16,7 @@
         repeated --service service: String
         /// Client account, as name or name=share; repeat for several.
         repeated --client_account client_account: String
-        /// Share of unrepeatable requests, 0 to 1; each has its own idempotency key.
+        /// Share of non-idempotent requests, 0 to 1; each is a POST with its own idempotency key.
         optional --unrepeatable share: f64
         /// Timeout of each request in milliseconds, 5000 by default.
         optional --timeout-ms millis: u64
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -28,7 +28,7 @@
     pub services: Vec<(String, f64)>,
     /// Client accounts and the share of requests for each.
     pub client_accounts: Vec<(String, f64)>,
-    /// Share of unrepeatable requests, each with its own idempotency key.
+    /// Share of non-idempotent requests, 0 to 1; each is a POST with its own idempotency key.
     pub unrepeatable: f64,
     /// Timeout of each request.
     pub timeout: Duration,
@@ -64,7 +64,7 @@
     pub call: Call,
     /// When the request was scheduled to be sent.
     pub due: Instant,
-    /// Outcome as the caller saw it.
+    /// Outcome as observed by the caller, with its times.
     pub timed_reply: TimedReply,
     /// Time from the scheduled start to the end of the response, so it includes any delay of the
     /// load generator itself.
@@ -126,18 +126,18 @@
 }
 
 fn random_call(plan: &Plan, rng: &mut ChaCha8Rng, number: usize) -> Call {
-    let unrepeatable = rng.random::<f64>() < plan.unrepeatable;
+    let is_non_idempotent = rng.random::<f64>() < plan.unrepeatable;
     let id = format!("{}-{number}", plan.run);
     Call {
         service: pick_weighted(&plan.services, rng),
         client_account: pick_weighted(&plan.client_accounts, rng),
-        method: if unrepeatable {
+        method: if is_non_idempotent {
             Method::POST
         } else {
             Method::GET
         },
         path: plan.path.clone(),
-        key: unrepeatable.then(|| id.clone()),
+        key: is_non_idempotent.then(|| id.clone()),
         id,
         timeout: plan.timeout,
         ..Call::default()
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -1,8 +1,10 @@
 //! Comparison of placement policies in virtual time.
 //!
-//! The real cores of entries and guards run against simulated upstreams with slots, service times
-//! and a varying speed. Load reports reach entries after the zone delay. Neither the network nor
-//! the life cycle of nodes is modelled. The same seed gives the same results.
+//! Entries, which are the nodes that receive requests from callers, choose a host by a policy. Each
+//! host runs the real admission control and admits, queues or refuses the request; it has slots,
+//! service times and a varying speed. Load reports reach an entry with the replies, after the delay
+//! between the zones. Other properties of the network and the life cycle of nodes are not modelled.
+//! The same seed gives the same results.
 
 mod fake;
 
@@ -28,7 +30,7 @@
     pub zones: usize,
     /// One-way network delay between zones.
     pub zone_delay: Duration,
-    /// Number of entries; every node of any service is one.
+    /// Number of entries: the nodes of all services, since each of them accepts requests.
     pub entries: usize,
 }
 
@@ -111,14 +113,15 @@
     ("two choices, reports", Some(two_choices_reported)),
     ("least reported", Some(least_reported)),
     ("mintridge", None),
-    ("all-seeing", Some(all_seeing)),
+    ("all-seeing", Some(least_actual_latency)),
 ];
 
 fn random(view: &mut View<'_>) -> usize {
     view.candidates[view.rng.random_range(0..view.candidates.len())]
 }
 
-/// Round robin per entry, positioned by the number of its requests in flight.
+/// Approximates round robin per entry: the position is the number of the entry's requests in
+/// flight, offset by the entry's index and by 0 or 1 at random.
 fn round_robin(view: &mut View<'_>) -> usize {
     let total: u32 = view.own_in_flight.iter().sum();
     let step = usize::try_from(total).unwrap_or(0) + view.entry;
@@ -160,7 +163,8 @@
     *least.unwrap_or(&0)
 }
 
-fn all_seeing(view: &mut View<'_>) -> usize {
+/// Uses the actual state of all hosts, as a bound on what any policy can achieve.
+fn least_actual_latency(view: &mut View<'_>) -> usize {
     let best = view
         .candidates
         .iter()
--- a/crates/bench/src/policy/fake.rs
+++ b/crates/bench/src/policy/fake.rs
@@ -40,6 +40,8 @@
     Reply {
         host: usize,
         request: usize,
+        /// Requests in flight, requests queued, limit and service time of a [`Report`]. Events must
+        /// be ordered, and a report isn't.
         report: [u32; 4],
         ok: bool,
     },
@@ -82,6 +84,7 @@
     now: Instant,
     end: Instant,
     events: BinaryHeap<Reverse<(Instant, u64, Event)>>,
+    /// Number of the last event, which orders events at the same time.
     sequence: u64,
     requests: HashMap<usize, Request>,
     next_id: usize,
@@ -233,12 +236,14 @@
             return;
         }
         let elapsed = (self.now - self.started_at).as_secs_f64();
-        let surge = match self.condition {
+        let rate_factor = match self.condition {
             Condition::Auction if (1.0..1.3).contains(&elapsed) => 10.0,
             Condition::Auction => 0.5,
             _ => 1.0,
         };
-        let mut rate = self.rate * surge;
+        let mut rate = self.rate * rate_factor;
+        // The large client account sends a tenth of the load; ten times that is 1.0 beside the 0.9
+        // of the others.
         let mut large_share = 0.1;
         if self.condition == Condition::Burst && (1.0..2.0).contains(&elapsed) {
             rate *= 1.9;
--- a/crates/try/src/main.rs
+++ b/crates/try/src/main.rs
@@ -1,5 +1,6 @@
 //! `mintridge-try`: runs nodes, upstreams and the store as stand-ins in one process and sends load
-//! through them over HTTP on loopback. Prints a report and exits non-zero if a promise was broken.
+//! through them over HTTP on loopback. Prints a report and exits non-zero if a guarantee was
+//! violated.
 
 use std::collections::HashMap;
 use std::process::ExitCode;
@@ -34,12 +35,12 @@
             return ExitCode::FAILURE;
         }
     };
-    let straight = run_direct(&scene).await;
-    println!("\nstraight to the upstreams of field-service\n{straight}");
+    let direct = run_direct(&scene).await;
+    println!("\nstraight to the upstreams of field-service\n{direct}");
     let mut replies = ReplyLog::default();
-    let through = run_through_nodes(&scene, &mut replies).await;
-    println!("through mintridge, two nodes in the path\n{through}");
-    print_added_latency(&straight, &through);
+    let proxied = run_through_nodes(&scene, &mut replies).await;
+    println!("through mintridge, two nodes in the path\n{proxied}");
+    print_added_latency(&direct, &proxied);
     replies.check(&scene)
 }
 
@@ -72,12 +73,12 @@
     load::run(&load, |record| replies.record(record)).await
 }
 
-fn print_added_latency(straight: &Report, through: &Report) {
+fn print_added_latency(direct: &Report, proxied: &Report) {
     println!("added latency (unrepeatable requests include their claim in the store)");
     for (name, percent) in [("p50", 50.0), ("p90", 90.0), ("p99", 99.0)] {
-        let direct = straight.percentile(percent).as_secs_f64() * 1e3;
-        let proxied = through.percentile(percent).as_secs_f64() * 1e3;
-        println!("  {name:<28} {:>9.2} ms", proxied - direct);
+        let direct_ms = direct.percentile(percent).as_secs_f64() * 1e3;
+        let proxied_ms = proxied.percentile(percent).as_secs_f64() * 1e3;
+        println!("  {name:<28} {:>9.2} ms", proxied_ms - direct_ms);
     }
 }
 
