--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -56,9 +56,9 @@
 fn arrive_admits_up_to_slots_then_queues() {
     let now = Instant::now();
     let mut admission = admission(2);
-    let late = now + Duration::from_secs(10);
+    let far_deadline = now + Duration::from_secs(10);
     let decisions: Vec<Decision> = (0..3)
-        .map(|id| admission.arrive(now, arrival(id, "a", late), 1.0))
+        .map(|id| admission.arrive(now, arrival(id, "a", far_deadline), 1.0))
         .collect();
     assert_eq!(
         decisions,
@@ -70,10 +70,11 @@
 fn arrive_refuses_requests_that_cannot_meet_their_deadline() {
     let now = Instant::now();
     let mut admission = admission(1);
-    let late = now + Duration::from_secs(10);
-    admission.arrive(now, arrival(0, "a", late), 1.0);
-    let soon = now + SERVICE_TIME;
-    let Decision::Refuse(refusal) = admission.arrive(now, arrival(1, "a", soon), 1.0) else {
+    let far_deadline = now + Duration::from_secs(10);
+    admission.arrive(now, arrival(0, "a", far_deadline), 1.0);
+    let near_deadline = now + SERVICE_TIME;
+    let Decision::Refuse(refusal) = admission.arrive(now, arrival(1, "a", near_deadline), 1.0)
+    else {
         panic!("must be refused");
     };
     assert_eq!(refusal.outcome, Outcome::NotRun);
@@ -103,11 +104,11 @@
 fn dequeue_is_fair_between_client_accounts() {
     let now = Instant::now();
     let mut admission = admission(1);
-    let late = now + Duration::from_secs(10);
+    let far_deadline = now + Duration::from_secs(10);
     for id in 0..4 {
-        admission.arrive(now, arrival(id, "large", late), 1.0);
+        admission.arrive(now, arrival(id, "large", far_deadline), 1.0);
     }
-    admission.arrive(now, arrival(10, "small", late), 1.0);
+    admission.arrive(now, arrival(10, "small", far_deadline), 1.0);
     let order = run_queue(&mut admission, now, Id(0));
     assert_eq!(order, [10, 1, 2, 3]);
 }
@@ -122,11 +123,11 @@
         ..Settings::default()
     };
     let mut admission = Admission::new(settings, 1);
-    let late = now + Duration::from_secs(10);
-    admission.arrive(now, arrival(0, "first", late), 1.0);
+    let far_deadline = now + Duration::from_secs(10);
+    admission.arrive(now, arrival(0, "first", far_deadline), 1.0);
     for id in 0..6 {
-        admission.arrive(now, arrival(100 + id, "heavy", late), weight);
-        admission.arrive(now, arrival(200 + id, "light", late), 1.0);
+        admission.arrive(now, arrival(100 + id, "heavy", far_deadline), weight);
+        admission.arrive(now, arrival(200 + id, "light", far_deadline), 1.0);
     }
     let order = run_queue(&mut admission, now, Id(0));
     let heavy = order[..4].iter().filter(|id| (100..200).contains(*id));
@@ -139,13 +140,13 @@
 fn arrive_displaces_the_longest_backlog_when_full() {
     let now = Instant::now();
     let mut admission = admission(1);
-    let late = now + Duration::from_secs(10);
+    let far_deadline = now + Duration::from_secs(10);
     for id in 0..5 {
-        admission.arrive(now, arrival(id, "large", late), 1.0);
+        admission.arrive(now, arrival(id, "large", far_deadline), 1.0);
     }
-    let large = admission.arrive(now, arrival(5, "large", late), 1.0);
+    let large = admission.arrive(now, arrival(5, "large", far_deadline), 1.0);
     assert!(matches!(large, Decision::Refuse(refusal) if refusal.reason == Reason::Busy));
-    let small = admission.arrive(now, arrival(10, "small", late), 1.0);
+    let small = admission.arrive(now, arrival(10, "small", far_deadline), 1.0);
     assert_eq!(small, Decision::Queue);
     let displaced = drain(&mut admission, now);
     assert!(
@@ -157,9 +158,9 @@
 fn cancel_removes_the_request_from_the_queue() {
     let now = Instant::now();
     let mut admission = admission(1);
-    let late = now + Duration::from_secs(10);
-    admission.arrive(now, arrival(0, "a", late), 1.0);
-    admission.arrive(now, arrival(1, "a", late), 1.0);
+    let far_deadline = now + Duration::from_secs(10);
+    admission.arrive(now, arrival(0, "a", far_deadline), 1.0);
+    admission.arrive(now, arrival(1, "a", far_deadline), 1.0);
     admission.cancel(Id(1));
     admission.finish(Id(0));
     assert_eq!(drain(&mut admission, now), []);
@@ -170,9 +171,9 @@
 fn limit_falls_when_the_upstream_sheds_and_recovers() {
     let mut now = Instant::now();
     let mut admission = admission(10);
-    let late = now + Duration::from_mins(10);
+    let far_deadline = now + Duration::from_mins(10);
     for id in 0..3 {
-        admission.arrive(now, arrival(id, "a", late), 1.0);
+        admission.arrive(now, arrival(id, "a", far_deadline), 1.0);
         admission.record_answer(now, Id(id), Answer::Shed);
         admission.finish(Id(id));
         now += Duration::from_secs(1);
@@ -180,7 +181,7 @@
     let lowered = admission.report(now).limit;
     assert!(lowered < 10, "limit {lowered}");
     for id in 10..400 {
-        admission.arrive(now, arrival(id, "a", late), 1.0);
+        admission.arrive(now, arrival(id, "a", far_deadline), 1.0);
         admission.record_answer(now + SERVICE_TIME, Id(id), Answer::Served);
         admission.finish(Id(id));
         now += SERVICE_TIME;
@@ -192,9 +193,9 @@
 fn refuse_queued_empties_the_queue_as_not_run() {
     let now = Instant::now();
     let mut admission = admission(1);
-    let late = now + Duration::from_secs(10);
+    let far_deadline = now + Duration::from_secs(10);
     for id in 0..3 {
-        admission.arrive(now, arrival(id, "a", late), 1.0);
+        admission.arrive(now, arrival(id, "a", far_deadline), 1.0);
     }
     admission.refuse_queued(now, Reason::Doubtful);
     let refused = drain(&mut admission, now);
@@ -296,7 +297,10 @@
     let mut admission = Admission::new(settings, 4);
     admission.observe_load(now, &slowness(100));
     assert!(admission.observe_load(now, &slowness(400)));
-    assert!(!admission.observe_load(now, &slowness(400)), "nothing new");
+    assert!(
+        !admission.observe_load(now, &slowness(400)),
+        "the slowness is unchanged"
+    );
     admission
 }
 
--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Which hosts are asked to take one request, and in what order they may be asked again.
+//! On which hosts one request is placed, and when hosts that refused it may be tried again.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -25,20 +25,20 @@
     }
 }
 
-/// Asks one host after another, each of which refuses for the given reason. Returns the hosts that
-/// were asked, and whether each had to refuse if it could only answer late.
-fn ask_hosts(hosts: usize, reasons: &[Reason]) -> Vec<(&'static str, bool)> {
+/// Places a request on one host after another, each of which refuses it for the given reason.
+/// Returns these hosts, and whether each had to refuse if it could only answer late.
+fn place_on_hosts(hosts: usize, reasons: &[Reason]) -> Vec<(&'static str, bool)> {
     let now = Instant::now();
     let deadline = now + Duration::from_secs(1);
     let mut attempts = Attempts::default();
-    let mut asked = Vec::new();
+    let mut placed = Vec::new();
     for reason in reasons {
         let untried = HOSTS[..hosts]
             .iter()
             .find(|host| !attempts.tried().iter().any(|tried| **tried == ***host));
         let host = untried.expect("a host is untried");
         let only_in_time = attempts.record_placement(&settings(), &Arc::from(*host));
-        asked.push((*host, only_in_time));
+        placed.push((*host, only_in_time));
         let refusal = Refusal::not_run(*reason, now);
         let has_untried = |tried: &[Arc<str>]| {
             let mut all = HOSTS[..hosts].iter();
@@ -48,11 +48,11 @@
             break;
         }
     }
-    asked
+    placed
 }
 
-/// In a burst all hosts could only answer late. Two are asked for an answer in time; the third
-/// placement accepts a late answer, and may be on a host that refused before.
+/// In a burst all hosts could only answer late. Two placements require an answer in time; the third
+/// accepts a late answer, and may be on a host that refused before.
 #[rstest]
 #[case::enough_hosts(4, &[Reason::Late; 5], &[("a", true), ("b", true), ("a", false)])]
 #[case::one_host(1, &[Reason::Late; 5], &[("a", true), ("a", false)])]
@@ -64,7 +64,7 @@
     #[case] reasons: &[Reason],
     #[case] expected: &[(&str, bool)],
 ) {
-    assert_eq!(ask_hosts(hosts, reasons), expected);
+    assert_eq!(place_on_hosts(hosts, reasons), expected);
 }
 
 #[test]
@@ -77,7 +77,7 @@
 }
 
 /// A request waits at a host until its target has passed and is then refused as late. No host can
-/// be in time any more, so the next one asked is the last and may answer late.
+/// be in time any more, so the next placement is the last and accepts a late answer.
 #[test]
 fn record_refusal_allows_one_more_host_after_the_target() {
     let now = Instant::now();
--- a/crates/core/tests/bootstrap.rs
+++ b/crates/core/tests/bootstrap.rs
@@ -12,7 +12,7 @@
 const STALENESS: Duration = Duration::from_secs(1);
 /// Cost of a possibly stale read relative to any other call.
 const STALE_READ_COST: f64 = 0.1;
-/// Cost of an entry: a lease and a write.
+/// Cost of writing the entry by which other nodes discover this one: a lease and a write.
 const ENTRY_COST: f64 = 2.0;
 
 fn settings() -> Settings {
@@ -23,7 +23,7 @@
     }
 }
 
-const fn no_knowledge() -> Snapshot {
+const fn empty_snapshot() -> Snapshot {
     Snapshot {
         last_contact_at: None,
         has_peers: false,
@@ -32,8 +32,8 @@
     }
 }
 
-/// Starts a fleet without named hosts; returns the number of calls per node and the time until all
-/// nodes knew others.
+/// Starts a fleet without named hosts; returns the mean cost of store calls per node and the time
+/// until all nodes have read the store.
 fn simulate_start(nodes: u64) -> (f64, Duration) {
     let start = Instant::now();
     let node = |seed| Bootstrap::new(settings(), ISOLATED_AFTER, start, Contacts::None, seed);
@@ -43,7 +43,7 @@
     let mut now = start;
     while !waiting.is_empty() {
         now += TICK;
-        let due = |node: &mut Bootstrap| node.is_discovery_due(now, no_knowledge());
+        let due = |node: &mut Bootstrap| node.is_discovery_due(now, empty_snapshot());
         for _ in waiting.extract_if(.., due) {
             calls += STALE_READ_COST;
             let visible = written.iter().filter(|at| **at + STALENESS <= now).count();
@@ -78,8 +78,8 @@
 
 /// A node is replaced while the fleet runs. A named host provides the routing table within a few
 /// round trips, and all peers shortly afterwards. The node must not call the store, neither for
-/// peers and routes nor as a designated reader, although it does not know yet which nodes come
-/// before it.
+/// peers and routes nor as a designated reader, although it counts as one until it knows
+/// the nodes that come before it in the order of readers.
 #[test]
 fn is_discovery_due_never_on_a_node_that_joins_through_peers() {
     let start = Instant::now();
@@ -101,16 +101,16 @@
 
 /// After a power loss of the whole fleet, the named hosts are down or have no data yet. A node must
 /// read the routing table from the store within 30 ms and look for other nodes within 60 ms, since
-/// its callers are rejected until then. With 250 to 500 ms for both, 32 requests of 28 nodes were
-/// rejected as unconfigured, compared with one.
+/// its callers are rejected until then. With 250 to 500 ms for both, 32 requests at 28 nodes were
+/// rejected as unconfigured, compared with one request.
 #[test]
 fn is_routes_read_due_in_time_without_named_hosts() {
     let start = Instant::now();
     for seed in 0..300 {
         let node = Bootstrap::new(settings(), ISOLATED_AFTER, start, Contacts::Others, seed);
         let routes_due_at = start + Duration::from_millis(30);
-        assert!(node.is_routes_read_due(routes_due_at, no_knowledge()));
-        assert!(node.is_discovery_due(start + Duration::from_millis(60), no_knowledge()));
+        assert!(node.is_routes_read_due(routes_due_at, empty_snapshot()));
+        assert!(node.is_discovery_due(start + Duration::from_millis(60), empty_snapshot()));
     }
 }
 
@@ -120,7 +120,7 @@
 fn is_routes_read_due_immediately_on_a_named_host() {
     let start = Instant::now();
     let node = Bootstrap::new(settings(), ISOLATED_AFTER, start, Contacts::IncludesOwn, 1);
-    assert!(node.is_routes_read_due(start, no_knowledge()));
+    assert!(node.is_routes_read_due(start, empty_snapshot()));
 }
 
 /// A node is cut off from its peers but not from the store for half a minute. Its discovery
@@ -132,7 +132,7 @@
     let mut attempts = 0;
     for tick in 0..3_000 {
         let now = start + TICK * tick;
-        if node.is_discovery_due(now, no_knowledge()) {
+        if node.is_discovery_due(now, empty_snapshot()) {
             attempts += 1;
             node.schedule_discovery_retry(now);
         }
--- a/crates/core/tests/claim.rs
+++ b/crates/core/tests/claim.rs
@@ -325,11 +325,11 @@
     let (mut store, mut one) = lost_claim(lost_at);
     let mut other = claims(lost_at);
     other.store_restored(lost_at);
-    let asked_at = lost_at + Duration::from_millis(10);
-    let deadline = asked_at + Duration::from_secs(5);
+    let submitted_at = lost_at + Duration::from_millis(10);
+    let deadline = submitted_at + Duration::from_secs(5);
     other.submit(Ticket(2), claim("key", "two"), deadline);
     assert_eq!(
-        run(&mut other, &mut store, asked_at),
+        run(&mut other, &mut store, submitted_at),
         [(Ticket(2), Verdict::Doubtful)]
     );
     let detected_at = lost_at + Duration::from_secs(2);
@@ -389,9 +389,9 @@
     if released {
         one.release(claim("key", "one"));
     }
-    let returned_at = now + after;
-    one.store_restored(returned_at);
-    assert_eq!(run(&mut one, &mut store, returned_at), []);
+    let restored_at = now + after;
+    one.store_restored(restored_at);
+    assert_eq!(run(&mut one, &mut store, restored_at), []);
     assert!(store.keys.is_empty());
 }
 
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -88,7 +88,7 @@
 
 /// Guards against a zone that stays evacuated forever when its evacuation is not written again.
 #[test]
-fn tick_withdraws_what_is_not_written_again() {
+fn tick_withdraws_an_evacuation_that_is_not_written_again() {
     let now = Instant::now();
     let mut register = register_evacuated_at(stamp(1, 5));
     register.apply_listing(now, stamp(2, 3), Vec::new());
--- a/crates/core/tests/failover.rs
+++ b/crates/core/tests/failover.rs
@@ -1,4 +1,5 @@
-//! Simulates the failure of one zone's readers, with the datagrams between its nodes.
+//! Simulates the failure of one zone's designated readers of the store, with the datagrams by which
+//! readers report to the other nodes.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +12,7 @@
 /// Time within which some node must read the store: a change must be in force on all nodes within
 /// two seconds, and the rest is left for the read and its propagation to the other nodes.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// Designated readers of a zone.
+/// Number of designated readers in a zone.
 const READERS: usize = 2;
 const STEP: Duration = Duration::from_millis(5);
 /// Timeout of a call to the store.
@@ -30,8 +31,9 @@
 struct Node {
     failover: Failover,
     condition: Condition,
-    /// The node takes no step before this time.
+    /// The node waits for the store or for its next call until this time.
     busy_until: Instant,
+    /// Whether the node acted as a reader in its last step and the store answers it.
     reads: bool,
 }
 
@@ -42,18 +44,19 @@
     rng: ChaCha8Rng,
     /// Percentage of datagrams that are lost.
     loss_percent: u32,
-    checks: usize,
+    /// Number of calls to the store so far.
+    store_calls: usize,
 }
 
 impl Zone {
     fn new(size: usize, seed: u64, loss_percent: u32) -> Self {
         let now = Instant::now();
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let check_interval = Settings::default().check_every;
+        let call_interval = Settings::default().check_every;
         let nodes = (0..size).map(|_| Node {
             failover: Failover::new(Settings::default(), now),
             condition: Condition::Healthy,
-            busy_until: now + check_interval.mul_f64(rng.random()),
+            busy_until: now + call_interval.mul_f64(rng.random()),
             reads: false,
         });
         Self {
@@ -61,7 +64,7 @@
             now,
             rng,
             loss_percent,
-            checks: 0,
+            store_calls: 0,
         }
     }
 
@@ -92,16 +95,17 @@
         if !reads {
             return;
         }
-        self.checks += 1;
+        self.store_calls += 1;
         if node.condition == Condition::Unanswered {
             node.busy_until = now + CALL_TIMEOUT;
             return;
         }
         node.busy_until = now + Settings::default().check_every;
-        self.report(index);
+        self.send_report(index);
     }
 
-    fn report(&mut self, from: usize) {
+    /// Sends a reader's report to all other nodes.
+    fn send_report(&mut self, from: usize) {
         for (to, node) in self.nodes.iter_mut().enumerate() {
             let is_lost = self.rng.random_ratio(self.loss_percent, 100);
             if to != from && node.condition != Condition::Stopped && !is_lost {
@@ -128,7 +132,7 @@
 #[rstest]
 #[case::one_successor_is_healthy(4, 3, Condition::Unanswered)]
 #[case::last_successor_is_healthy(17, 9, Condition::Unanswered)]
-#[case::all_before_have_stopped(17, 9, Condition::Stopped)]
+#[case::all_preceding_nodes_have_stopped(17, 9, Condition::Stopped)]
 #[case::large_zone(73, 8, Condition::Unanswered)]
 fn acts_as_reader_soon_enough_for_a_change_to_be_in_force(
     #[case] size: usize,
@@ -169,12 +173,12 @@
     for node in &mut zone.nodes {
         node.condition = Condition::Unanswered;
     }
-    zone.checks = 0;
+    zone.store_calls = 0;
     zone.run(Duration::from_secs(5), |_| false);
     // Readers call the store for five seconds, and successors once reports are overdue after one
     // second.
-    let max_checks = READERS * 11 + settings.successors * 9;
-    assert!(zone.checks <= max_checks, "{} checks", zone.checks);
+    let max_calls = READERS * 11 + settings.successors * 9;
+    assert!(zone.store_calls <= max_calls, "{} calls", zone.store_calls);
 }
 
 /// Guards against several nodes that act as readers indefinitely, and against two that yield to
--- a/crates/core/tests/load.rs
+++ b/crates/core/tests/load.rs
@@ -1,4 +1,4 @@
-//! Tests of the wire format of load reports, and of the extra time of a slow phase.
+//! Tests of the wire format of load reports, and of the penalty for a slow phase.
 
 use std::time::Duration;
 
@@ -25,7 +25,8 @@
     assert!(text.parse::<Report>().is_err());
 }
 
-/// A short request runs slowly on a slow host; a long one waits for the end of the slow phase.
+/// The penalty of a short request is the extra time that it takes on a slow host; a long one waits
+/// for the end of the slow phase instead.
 #[rstest]
 #[case::usual(100, 120, 0)]
 #[case::unknown(0, 120, 0)]
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: spreads requests, avoids bad hosts, and chooses an avoided host rather than none.
+//! Placement: spreads requests, avoids failing hosts, and chooses an avoided host rather than none.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn pick_avoids_a_host_that_broke_until_later() {
+fn pick_avoids_a_failed_host_for_a_while() {
     let now = Instant::now();
     let mut placement = placement(now, 2);
     placement.finish(now, SERVICE, "host-0", Ending::Avoid);
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -117,10 +117,10 @@
     assert!(!is_quarantined(&node, now, common));
 }
 
-/// Guards against a common request that is quarantined because it was in progress at several
-/// crashes at once.
+/// Guards against a common request that is quarantined because it was in progress at the same
+/// crashes as the culprit: only the culprit, which was never answered before, is blamed.
 #[test]
-fn record_does_not_blame_a_request_answered_until_then() {
+fn record_blames_the_unanswered_request_of_two() {
     let now = Instant::now();
     let mut node = node(0);
     let (culprit, common) = (request(1), request(2));
@@ -451,7 +451,7 @@
 /// after its last crash every node forgets it, also one that learned of it later, and an update
 /// that still contains it does not restore it.
 #[test]
-fn expire_forgets_requests_no_longer_sent() {
+fn expire_forgets_requests_without_recent_crashes() {
     let began_at = Instant::now();
     let mut nodes: Vec<Quarantine> = (0..2).map(node).collect();
     for _ in 0..3 {
@@ -478,7 +478,7 @@
 }
 
 /// Guards against a request that crashes upstreams for as long as it is sent. Simulated load: nine
-/// upstreams that are back three seconds after a crash; a request that crashes them, retried
+/// upstreams that have restarted three seconds after a crash; a request that crashes them, retried
 /// twelve times a second through any node, each retry with up to two attempts; a tenth of a second
 /// until an update has reached all nodes. Without quarantine the crashes continue; with it, only
 /// requests already in flight at the third crash add more.
--- a/crates/core/tests/recipients.rs
+++ b/crates/core/tests/recipients.rs
@@ -9,8 +9,8 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, port))
 }
 
-/// A node that stops sending must not be notified any more after two seconds; one that continues
-/// must be.
+/// A node that stops sending requests must get no more reports after two seconds; one that
+/// continues must get them.
 #[test]
 fn select_drops_nodes_that_stopped_sending() {
     let start = Instant::now();
@@ -23,7 +23,7 @@
     assert_eq!(recipients.select(start + Duration::from_secs(3)), [node(2)]);
 }
 
-/// Hundreds of nodes send to one upstream: the number of messages must stay bounded, and the most
+/// Hundreds of nodes send to one upstream: the number of reports must stay bounded, and the most
 /// recent senders must be among the selected.
 #[test]
 fn record_request_keeps_the_latest_of_many() {
@@ -41,7 +41,7 @@
 
 /// Three hundred nodes each send to one upstream every ten seconds, and three do so twice a
 /// second. Reports to the 300 would be out of date before their next choice, and at 50 changes a
-/// second reports to 24 of them would take some 150 KB a second. Only the three must be notified.
+/// second reports to 24 of them would take some 150 KB a second. Only the three must get them.
 #[test]
 fn select_returns_only_frequent_senders() {
     let start = Instant::now();
--- a/crates/core/tests/slow_phases.rs
+++ b/crates/core/tests/slow_phases.rs
@@ -1,9 +1,10 @@
 //! Simulates a fleet in which a quarter of the hosts is slow at any moment.
 //!
-//! In virtual time, each of twelve hosts is redrawn every 300 ms to be four times slower with a
-//! probability of a quarter. A request takes 120 ms, or four times that if it starts in a slow
-//! phase. Hosts are asked in random order, as by nodes without load reports; the last one accepts
-//! what all others refused. Requests arrive at even intervals, at half of the slots' capacity.
+//! In virtual time, every 300 ms each of twelve hosts becomes four times slower with a probability
+//! of a quarter, and normal otherwise. A request takes 120 ms, or four times that if it starts in a
+//! slow phase. Hosts are tried in random order, as by nodes without load reports; the last one
+//! accepts what all others refused. Requests arrive at even intervals, at half of the slots'
+//! capacity.
 //!
 //! Answers carry the host's speed; between them an upstream is checked for it within the budget,
 //! and each check costs 6 ms of a slot.
@@ -30,10 +31,11 @@
 const PHASE_MILLIS: u64 = 300;
 const TICK: Duration = Duration::from_millis(1);
 const DURATION_MILLIS: u64 = 20_000;
-/// Minimum cost of a speed check, and the cost reserved for one.
+/// Cost of a speed check, also the minimum that the budget is charged for one.
 const CHECK_COST: Duration = Duration::from_millis(6);
+/// Timeout of a speed check, and the cost that the budget reserves for one.
 const MAX_CHECK_COST: Duration = Duration::from_millis(25);
-/// Maximum number of hosts asked for one request.
+/// Maximum number of hosts tried for one request.
 const MAX_PLACEMENTS: usize = 4;
 
 /// When a host's speed is checked before a request starts there.
@@ -49,14 +51,15 @@
     admission: Admission,
     budget: Budget,
     slots: u32,
-    percent: u32,
+    /// Current duration of requests in percent of the normal one.
+    slowness_percent: u32,
     running: BTreeMap<Id, Instant>,
     arrived_at: BTreeMap<Id, Instant>,
 }
 
 impl Host {
     fn start(&mut self, now: Instant, id: Id) {
-        let duration = SERVICE_TIME * self.percent / 100;
+        let duration = SERVICE_TIME * self.slowness_percent / 100;
         self.running.insert(id, now + duration);
     }
 
@@ -65,7 +68,7 @@
             running: 0,
             waiting: 0,
             slots: self.slots,
-            slowness_percent: Some(self.percent),
+            slowness_percent: Some(self.slowness_percent),
         }
     }
 
@@ -102,7 +105,7 @@
         let now = start + TICK * u32::try_from(milli).unwrap_or(u32::MAX);
         for host in &mut hosts {
             if milli % PHASE_MILLIS == 0 {
-                host.percent = if rng.random::<f64>() < 0.25 { 400 } else { 100 };
+                host.slowness_percent = if rng.random::<f64>() < 0.25 { 400 } else { 100 };
             }
             in_time += finish(host, now, checks);
             start_admitted(host, now);
@@ -135,7 +138,7 @@
         admission: Admission::new(settings, slots),
         budget,
         slots,
-        percent: 100,
+        slowness_percent: 100,
         running: BTreeMap::new(),
         arrived_at: BTreeMap::new(),
     }
--- a/crates/core/tests/stagger.rs
+++ b/crates/core/tests/stagger.rs
@@ -23,9 +23,9 @@
         }
     }
     ends.sort_unstable();
-    let settled = ends.iter().filter(|at| **at > full * 2);
-    let settled: Vec<&Duration> = settled.collect();
-    let gaps = settled
+    let staggered = ends.iter().filter(|at| **at > full * 2);
+    let staggered: Vec<&Duration> = staggered.collect();
+    let gaps = staggered
         .windows(2)
         .map(|pair| pair[1].saturating_sub(*pair[0]));
     let mut gaps: Vec<Duration> = gaps.collect();
--- a/crates/core/tests/warm_up.rs
+++ b/crates/core/tests/warm_up.rs
@@ -1,4 +1,5 @@
-//! Starts in a cold upstream, and a fleet that loses power under load.
+//! Rate of the requests that are started in a cold upstream, alone and in a fleet that loses power
+//! under load.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -17,7 +18,7 @@
 const RATE: f64 = 16.0;
 /// A cold upstream crashes if more requests than this start in any second.
 const MAX_COLD_STARTS: usize = 32;
-const COLD_FOR: Duration = Duration::from_secs(3);
+const COLD_DURATION: Duration = Duration::from_secs(3);
 
 fn settings() -> Settings {
     Settings {
@@ -44,15 +45,15 @@
     cold_for: impl Fn(Instant) -> Duration,
 ) -> Vec<Instant> {
     const CHECK_LATENCY: Duration = Duration::from_millis(5);
-    let (mut starts, mut asked_at) = (Vec::new(), None);
+    let (mut starts, mut check_sent_at) = (Vec::new(), None);
     let mut now = from;
     while now < until {
-        if let Some(at) = asked_at.filter(|at| now >= *at + CHECK_LATENCY) {
+        if let Some(at) = check_sent_at.filter(|at| now >= *at + CHECK_LATENCY) {
             warm_up.record_check(at, now, cold_for(at));
-            asked_at = None;
+            check_sent_at = None;
         }
-        if asked_at.is_none() && warm_up.is_check_due(now) {
-            asked_at = Some(now);
+        if check_sent_at.is_none() && warm_up.is_check_due(now) {
+            check_sent_at = Some(now);
         }
         if warm_up.next_start(now).is_none() {
             warm_up.record_start(now);
@@ -68,8 +69,8 @@
 fn record_start_cold_from_the_start() {
     let t0 = Instant::now();
     let mut warm_up = WarmUp::new(settings(), t0);
-    warm_up.record_announcement(t0, COLD_FOR);
-    let until = t0 + COLD_FOR;
+    warm_up.record_announcement(t0, COLD_DURATION);
+    let until = t0 + COLD_DURATION;
     let starts = run(&mut warm_up, t0, until, |now| {
         until.saturating_duration_since(now)
     });
@@ -91,10 +92,10 @@
         if now < cold_at {
             Duration::ZERO
         } else {
-            (cold_at + COLD_FOR).saturating_duration_since(now)
+            (cold_at + COLD_DURATION).saturating_duration_since(now)
         }
     };
-    let starts = run(&mut warm_up, t0, cold_at + COLD_FOR, cold_for);
+    let starts = run(&mut warm_up, t0, cold_at + COLD_DURATION, cold_for);
     let cold: Vec<Instant> = starts.into_iter().filter(|at| *at >= cold_at).collect();
     assert!(
         busiest_second(&cold) <= MAX_COLD_STARTS,
@@ -112,12 +113,12 @@
     let cold_for = |now: Instant| {
         let cold_at = cold_phases.iter().rev().find(|at| now >= **at);
         cold_at.map_or(Duration::ZERO, |at| {
-            (*at + COLD_FOR).saturating_duration_since(now)
+            (*at + COLD_DURATION).saturating_duration_since(now)
         })
     };
     let starts = run(&mut warm_up, t0, t0 + 9 * SECOND, cold_for);
     for cold_at in cold_phases {
-        let cold = |at: &&Instant| **at >= cold_at && **at < cold_at + COLD_FOR;
+        let cold = |at: &&Instant| **at >= cold_at && **at < cold_at + COLD_DURATION;
         let cold: Vec<Instant> = starts.iter().filter(cold).copied().collect();
         assert!(
             busiest_second(&cold) <= MAX_COLD_STARTS,
@@ -144,7 +145,7 @@
     let t0 = started_at + SECOND;
     let cold_until = t0 + 10 * SECOND;
     let cold_for = |now: Instant| cold_until.saturating_duration_since(now);
-    before.record_announcement(t0, COLD_FOR);
+    before.record_announcement(t0, COLD_DURATION);
     let killed_at = t0 + Duration::from_millis(killed_after);
     let mut starts = run(&mut before, t0, killed_at, cold_for);
     let restarted_at = killed_at + Duration::from_millis(restarted_after);
@@ -167,7 +168,7 @@
 fn record_check_out_of_order() {
     let t0 = Instant::now();
     let mut warm_up = WarmUp::new(settings(), t0);
-    warm_up.record_check(t0 + 10 * MILLI, t0 + 12 * MILLI, COLD_FOR);
+    warm_up.record_check(t0 + 10 * MILLI, t0 + 12 * MILLI, COLD_DURATION);
     warm_up.record_check(t0, t0 + 20 * MILLI, Duration::ZERO);
     warm_up.record_announcement(t0 + 30 * MILLI, Duration::ZERO);
     assert!(warm_up.is_cold(t0 + 40 * MILLI));
@@ -178,16 +179,17 @@
 fn next_start_without_a_rate() {
     let t0 = Instant::now();
     let mut warm_up = WarmUp::new(Settings::default(), t0);
-    warm_up.record_announcement(t0, COLD_FOR);
+    warm_up.record_announcement(t0, COLD_DURATION);
     (0..1000).for_each(|_| warm_up.record_start(t0));
     assert_eq!(warm_up.next_start(t0), None);
     assert!(!warm_up.is_check_due(t0));
 }
 
 /// An upstream that works on each request for a fixed time, and crashes when it is cold and too
-/// many requests start. It has the admission of the node beside it.
+/// many requests start. The admission control of its node decides which requests start.
 struct Host {
     admission: Admission,
+    /// Whether the node limits the rate of requests to the cold upstream.
     bounded: bool,
     running: Vec<(Instant, Id)>,
     starts: VecDeque<Instant>,
@@ -227,17 +229,18 @@
 
     /// Starts the upstream in the cold state.
     fn start(&mut self, now: Instant) {
-        self.cold_until = now + COLD_FOR;
+        self.cold_until = now + COLD_DURATION;
         self.starts.clear();
         self.admission.reset_after_restart();
         if self.bounded {
             self.admission
                 .warm_up_mut()
-                .record_announcement(now, COLD_FOR);
+                .record_announcement(now, COLD_DURATION);
         }
     }
 
-    fn hand_over(&mut self, now: Instant, id: Id) {
+    /// Starts a request in the upstream, which may crash it.
+    fn start_request(&mut self, now: Instant, id: Id) {
         while self.starts.front().is_some_and(|at| now >= *at + SECOND) {
             self.starts.pop_front();
         }
@@ -274,7 +277,7 @@
             only_in_time: false,
         };
         if self.admission.arrive(now, arrival, 1.0) == Decision::Admit {
-            self.hand_over(now, id);
+            self.start_request(now, id);
         }
     }
 
@@ -298,7 +301,7 @@
         }
         while let Some(action) = self.admission.poll(now) {
             if let Action::Admit(id) = action {
-                self.hand_over(now, id);
+                self.start_request(now, id);
             }
         }
     }
@@ -313,7 +316,7 @@
     let t0 = Instant::now();
     let mut hosts: Vec<Host> = (0..HOSTS).map(|_| Host::new(t0, bounded)).collect();
     let (mut arrived, mut now) = (0, t0);
-    let end = t0 + COLD_FOR + 3 * SECOND;
+    let end = t0 + COLD_DURATION + 3 * SECOND;
     while now < end {
         let elapsed = u64::try_from(now.duration_since(t0).as_millis()).expect("seconds");
         while arrived < elapsed * REQUESTS_PER_SECOND / 1000 {
