--- a/crates/core/src/configs.rs
+++ b/crates/core/src/configs.rs
@@ -1,4 +1,4 @@
-//! Settings of the core modules; each `Default` implementation documents the defaults.
+//! Settings of the core modules; each `Default` implementation defines the defaults.
 //!
 //! Durations are written with their unit, such as `"500ms"` or `"3s"`.
 
--- a/crates/core/src/configs/admission.rs
+++ b/crates/core/src/configs/admission.rs
@@ -15,30 +15,31 @@
     /// hundred milliseconds, and part of a phase has passed when a request runs into it.
     #[serde(with = "humantime_serde")]
     pub slow_phase: Duration,
-    /// How long a report of the host's pace counts as current. After that the upstream is asked
-    /// again before a request starts, as far as the probe budget allows.
+    /// How long a report of the host's pace counts as current. After that the upstream is polled
+    /// for it before a request starts, as far as the probe budget allows.
     #[serde(with = "humantime_serde")]
     pub pace_fresh: Duration,
-    /// Minimum ratio of the share of a rank's requests that start in time to that of all ranks. A
-    /// rank below it is treated as most urgent until it has caught up. At 0 the least urgent rank
-    /// gets only the remaining capacity; higher values cost the urgent ranks more capacity.
+    /// Minimum share of the requests of a rank (a priority) that start in time, relative to that
+    /// share over all ranks. A rank below it is treated as most urgent until it has caught up. At 0
+    /// the least urgent rank gets only the remaining capacity; higher values cost the urgent ranks
+    /// more capacity.
     pub rank_share_least: f64,
     /// Maximum number of queued requests per slot of the upstream.
     pub queue_per_slot: f64,
     /// Number of requests that may be queued regardless of the number of slots.
     pub queue_least: usize,
-    /// Assumed service time of a request before the first answer.
+    /// Assumed service time of a request before the first response.
     #[serde(with = "humantime_serde")]
     pub service_time_initial: Duration,
-    /// Weight of one answer in the mean service time, from 0 to 1. At 0.2 the last five answers
-    /// dominate the mean, and a single one from a slow phase made the following requests appear
-    /// too long for their targets.
+    /// Weight of one response in the mean service time, from 0 to 1. At 0.2 the last five responses
+    /// dominate the mean, and a single one from a slow phase made the following requests appear too
+    /// long for their targets.
     pub service_time_share: f64,
     /// Minimum concurrency limit, in requests.
     pub limit_least: f64,
     /// Factor by which the limit is multiplied when the upstream sheds load.
     pub limit_decrease: f64,
-    /// Requests added to the limit after as many successful answers as the limit.
+    /// Requests added to the limit after as many successful responses as the limit.
     pub limit_increase: f64,
     /// Minimum retry delay sent to a refused caller; HTTP can only express whole seconds.
     #[serde(with = "humantime_serde")]
--- a/crates/core/src/configs/bootstrap.rs
+++ b/crates/core/src/configs/bootstrap.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Time to join the fleet through the hosts named in the settings before a node looks for
-    /// other nodes in the store with a possibly stale read. Long enough for several round trips,
-    /// and short compared with the time for which its callers would be rejected.
+    /// Time to join the fleet through the hosts named in the settings before a node searches the
+    /// store for other nodes with a possibly stale read. Long enough for several round trips, and
+    /// short compared with the time for which its callers would be rejected.
     #[serde(with = "humantime_serde")]
     pub named_first: Duration,
     /// Time to get the routing table from the named hosts before a node reads it from the store:
@@ -22,8 +22,9 @@
     /// few of them early. The first start of a fleet takes this long.
     #[serde(with = "humantime_serde")]
     pub start_spread: Duration,
-    /// Time after its start before a node may act as a designated reader of the store. Until then
-    /// it does not know the nodes of its zone that precede it in the order that designates readers.
+    /// Time after its start during which a node does not act as a designated reader of the store.
+    /// Until then it does not know the nodes of its zone that precede it in the order that
+    /// designates readers.
     #[serde(with = "humantime_serde")]
     pub settled_after: Duration,
 }
--- a/crates/core/src/configs/claim.rs
+++ b/crates/core/src/configs/claim.rs
@@ -22,17 +22,17 @@
     /// How long new claims are attached to the same lease of the store.
     #[serde(with = "humantime_serde")]
     pub lease_used_for: Duration,
-    /// Maximum age of a copy that the store may be restored from.
+    /// Maximum age of a copy from which the store may be restored.
     #[serde(with = "humantime_serde")]
     pub copy_age_most: Duration,
-    /// Maximum number of granted claims a node remembers in case of such a restore; beyond that the
+    /// Maximum number of granted claims a node remembers in case of a restore; beyond that the
     /// oldest are dropped.
     pub kept_most: usize,
     /// Interval at which the store is checked for a restore while granted claims are remembered.
     #[serde(with = "humantime_serde")]
     pub check_every: Duration,
-    /// How long after a restore nothing is granted. By then every node has detected the restore and
-    /// has written its claims again.
+    /// How long after a restore no claim is granted. By then every node has detected the restore
+    /// and has written its claims again.
     #[serde(with = "humantime_serde")]
     pub doubtful_for: Duration,
 }
--- a/crates/core/src/configs/health.rs
+++ b/crates/core/src/configs/health.rs
@@ -13,7 +13,7 @@
     /// A refusal by the upstream counts as a failure only if it takes less than this share of the
     /// mean service time.
     pub fast_failure: f64,
-    /// A missing answer counts as a failure only after this many times the mean service time.
+    /// A missing response counts as a failure only after this many times the mean service time.
     pub patience: f64,
     /// Minimum time between a failed probe and the next; the probe budget may extend it.
     #[serde(with = "humantime_serde")]
--- a/crates/core/src/configs/membership.rs
+++ b/crates/core/src/configs/membership.rs
@@ -29,7 +29,7 @@
     /// members. At 1, a node in a fleet of 510 receives a change from ten others on average.
     pub news_rounds: u32,
     /// Number of designated readers in each availability zone: the nodes that watch the store and
-    /// keep an entry in it.
+    /// maintain a seed in it, through which other nodes find them.
     pub holders_per_zone: usize,
 }
 
--- a/crates/core/src/configs/placement.rs
+++ b/crates/core/src/configs/placement.rs
@@ -15,14 +15,14 @@
     /// Assumed service time of an upstream that has not reported its load yet.
     #[serde(with = "humantime_serde")]
     pub service_time_initial: Duration,
-    /// Cost of an upstream whose slots are all taken over that of an empty one, in service times;
-    /// it grows in proportion to the load.
+    /// Additional cost of an upstream whose slots are all taken, compared with an idle one, in
+    /// service times; it grows in proportion to the load.
     pub spread: f64,
     /// A host counts as a straggler when its service time exceeds the median of its peers by this
     /// factor.
     pub straggler_factor: f64,
-    /// Time constant at which a straggler's reported service time decays to the median with the age
-    /// of the report.
+    /// Time constant with which a straggler's reported service time decays to the median with the
+    /// age of the report.
     #[serde(with = "humantime_serde")]
     pub straggler_fades: Duration,
     /// Expected remaining duration of a slow phase of an upstream's host.
--- a/crates/core/src/configs/retry.rs
+++ b/crates/core/src/configs/retry.rs
@@ -10,7 +10,7 @@
     pub attempts: u32,
     /// Maximum number of hosts asked for one request while none has sent it to its upstream.
     pub placements: u32,
-    /// Status codes of an upstream's answer after which an idempotent request is retried.
+    /// Status codes of an upstream's response after which an idempotent request is retried.
     pub on_statuses: Vec<u16>,
     /// Size of the retry budget: retries that can be made at once after a time without any.
     pub burst: f64,
--- a/crates/node/src/configs/callers.rs
+++ b/crates/node/src/configs/callers.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Header that names the service; if it is absent, the host name does.
+    /// Header that names the service; if it is absent, the host name of the request is the service.
     pub service_header: String,
     /// Header that names the client account on whose behalf the request is sent.
     pub client_account_header: String,
--- a/crates/node/src/configs/control.rs
+++ b/crates/node/src/configs/control.rs
@@ -14,10 +14,11 @@
     /// How long a single watch of the store waits for a change.
     #[serde(with = "humantime_serde")]
     pub watch_for: Duration,
-    /// How often a designated reader renews its seed entry and reads the other seeds.
+    /// How often a designated reader renews its seed, which is its entry in the store through which
+    /// other nodes find it, and reads the other seeds.
     #[serde(with = "humantime_serde")]
     pub seeds_every: Duration,
-    /// Time to live of a seed entry that is no longer renewed.
+    /// Time to live of a seed that is no longer renewed.
     #[serde(with = "humantime_serde")]
     pub seed_time_to_live: Duration,
     /// A node that has had no contact with any peer for this long reads the store itself.
--- a/crates/node/src/configs/guard.rs
+++ b/crates/node/src/configs/guard.rs
@@ -21,7 +21,8 @@
     /// responses.
     #[serde(with = "humantime_serde")]
     pub report_every: Duration,
-    /// Capacity of the queue of announcements from their listener to the guard.
+    /// Capacity of the queue that carries the upstream's announcements from their listener to the
+    /// guard.
     pub announcements_ring: usize,
     /// Capacity of the queue from the guard to control, which carries crashes of the upstream and
     /// responses to suspect requests.
--- a/crates/node/src/configs/logs.rs
+++ b/crates/node/src/configs/logs.rs
@@ -9,7 +9,8 @@
     /// Minimum log level (error, warn, info, debug or trace), or a filter such as
     /// `info,mintridge_node=debug`.
     pub level: String,
-    /// Maximum number of request log lines per second and duty; lines beyond it are only counted.
+    /// Maximum number of request log lines per second and duty (a thread of the node); lines beyond
+    /// it are only counted.
     pub request_lines_per_second: u32,
     /// One out of this many successful requests is logged; 0 logs none.
     pub sample_one_in: u64,
--- a/crates/node/src/configs/node.rs
+++ b/crates/node/src/configs/node.rs
@@ -8,7 +8,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// How long a stopping node keeps serving callers, which are told to use another node.
+    /// How long a stopping node keeps serving callers and closes their connections after a
+    /// response, so that they reconnect to another node.
     #[serde(with = "humantime_serde")]
     pub linger: Duration,
     /// Requests still in flight this long after a stop is requested are aborted.
--- a/crates/node/src/configs/upstream.rs
+++ b/crates/node/src/configs/upstream.rs
@@ -1,4 +1,4 @@
-//! Settings of the headers that the upstream supports.
+//! Settings of the upstream's address and of the headers that it supports.
 
 use std::net::SocketAddr;
 
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -48,7 +48,8 @@
     quarantine_changed: Notify,
     /// Whether the quarantine persisted before this node started has been loaded.
     quarantine_loaded: Cell<bool>,
-    /// Set when the store answers again after an outage, during which entries may have expired.
+    /// Set when the store answers again after an outage or has been restored from an older copy:
+    /// this node's seed may have expired or been lost.
     store_recovered: Cell<bool>,
     /// Whether the store answers this node.
     store_health: failover::StoreHealth,
@@ -64,15 +65,17 @@
     evacuations: evacuation::Register,
     /// When a peer last answered an exchange of this node.
     last_contact_at: Option<Instant>,
-    /// Exchanges with a different table digest, less those with an equal one.
+    /// Number of exchanges in which the table digests differed, minus those in which they were
+    /// equal; at least zero.
     digest_mismatches: u32,
+    /// Lease of this node's seed in the store, if it has written one.
     seed_lease: Option<i64>,
-    /// The role that was last logged.
+    /// Role in reading the store that was last logged.
     role: Role,
 }
 
 /// Runs all control tasks until the node ends, then announces its departure to peers and removes
-/// its entry from the store.
+/// its seed from the store.
 pub async fn run(context: Arc<Context>, listener: TcpListener, events: mpsc::Receiver<Event>) {
     let control = Rc::new(Control::new(context));
     let local = LocalSet::new();
@@ -99,7 +102,7 @@
         .await;
 }
 
-/// Sends changes of the upstream that the guard reports to peers.
+/// Sends the changes of the upstream reported by the guard to peers.
 async fn follow_upstream(control: Rc<Control>) {
     let mut upstream = control.context.latest.upstream.subscribe();
     loop {
@@ -299,7 +302,8 @@
         changed
     }
 
-    /// Records that a peer or the store answered a request sent at `requested_at`.
+    /// Records that a peer or the store answered a request sent at `requested_at`. After a pause of
+    /// the process the guard accepts no requests until such a refresh or a timeout.
     fn mark_refreshed(&self, requested_at: Instant) {
         self.context.latest.refreshed.send_replace(requested_at);
     }
--- a/crates/node/src/control/epochs.rs
+++ b/crates/node/src/control/epochs.rs
@@ -9,7 +9,7 @@
 /// Follows the epochs of the store and schedules rewrites when the epoch rises.
 ///
 /// Failure: the store is restored from an older copy and loses its most recent writes. Symptom:
-/// this node's entry and the quarantine are missing, or are attached to a lease id that has been
+/// this node's seed and the quarantine are missing, or are attached to a lease id that has been
 /// granted again, while the node assumes that they are stored. The few nodes that use the store
 /// write everything again that they wrote before.
 pub async fn follow(control: Rc<Control>) {
@@ -26,13 +26,13 @@
 
 fn handle_restore(control: &Control, restoration: Restoration) {
     let has_quarantined = !control.state.borrow().quarantine.quarantined().is_empty();
-    let had_entry = control.state.borrow_mut().seed_lease.take().is_some();
+    let had_seed = control.state.borrow_mut().seed_lease.take().is_some();
     log::warn!(
         epoch_before = restoration.before.0,
         epoch = restoration.now.0,
-        had_entry = had_entry,
+        had_entry = had_seed,
         holds_back = has_quarantined;
-        "store restored from an older copy; rewriting this node's entry and the quarantine"
+        "store restored from an older copy; rewriting this node's seed and the quarantine"
     );
     control.context.metrics.record_store_restore();
     control.store_recovered.set(true);
--- a/crates/node/src/control/exchange.rs
+++ b/crates/node/src/control/exchange.rs
@@ -51,9 +51,10 @@
 
 /// Runs gossip rounds: one exchange per period, with each peer in turn, and more often at startup.
 ///
-/// Failure: all nodes start after a power loss, and each learns only the few hosts that the named
-/// ones knew at that moment. Symptom: for seconds those few receive all requests and refuse most.
-/// The shorter period at startup makes the rest of the fleet known sooner.
+/// Failure: all nodes start after a power loss, and each learns only of the few members that the
+/// hosts named in the settings knew at that moment. Symptom: for seconds those few receive all
+/// requests and refuse most. The shorter period at startup makes the rest of the fleet known
+/// sooner.
 pub async fn rounds(control: Rc<Control>) {
     let period = control.context.settings.membership.period;
     loop {
--- a/crates/node/src/control/failover.rs
+++ b/crates/node/src/control/failover.rs
@@ -1,7 +1,7 @@
 //! Reports of the store's readers to their zone, and takeover by other nodes when the reports stop.
 //!
-//! A reader reports while the store answers it. When no reader of a zone does, other nodes of the
-//! zone act as readers in its place.
+//! A reader sends reports as long as the store answers it. When no reader of a zone sends any,
+//! other nodes of the zone act as readers in their place.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 use crate::datagram;
 use crate::request_log::millis;
 
-/// Kind of these datagrams in the metrics.
+/// Kind of the report datagrams in the metrics.
 const KIND: &str = "reader-report";
 
 /// Whether the store answers this node, and whether the node therefore acts as a reader.
@@ -41,7 +41,8 @@
     catching_up: Cell<bool>,
     /// Notified when the node may have started or stopped following the store.
     role_changed: Notify,
-    /// Notified when the store answers again; a watch opened earlier may have missed changes.
+    /// Notified when the store answers again after a failed check; a watch opened earlier may have
+    /// missed changes.
     recovered: Notify,
 }
 
@@ -93,7 +94,8 @@
     routes: Version,
 }
 
-/// Sends and receives reports until the thread ends, at the address used for exchanges.
+/// Sends and receives reports until the thread ends. They are UDP datagrams between the addresses
+/// that the nodes use for exchanges over TCP.
 pub async fn run(control: Rc<Control>) {
     let address = control.context.addresses.control;
     let socket = match UdpSocket::bind(address).await {
@@ -115,6 +117,7 @@
     datagram::receive(&socket, metrics, KIND, |report| apply(&control, &report)).await;
 }
 
+/// Records a report of a node in this zone, and fetches newer documents that the report mentions.
 fn apply(control: &Rc<Control>, report: &Report) {
     let now = Instant::now();
     let mut state = control.state.borrow_mut();
@@ -125,10 +128,10 @@
     let Some(address) = sender.map(|record| record.control_address) else {
         return;
     };
-    let ahead = state.table.precedes_own(&report.host);
+    let precedes_own = state.table.precedes_own(&report.host);
     let age = Duration::from_millis(report.age_millis);
     if let Some(answered_at) = now.checked_sub(age) {
-        state.failover.record_report(answered_at, ahead);
+        state.failover.record_report(answered_at, precedes_own);
     }
     let theirs = codec::Versions {
         preset: report.preset,
--- a/crates/node/src/control/holder.rs
+++ b/crates/node/src/control/holder.rs
@@ -1,7 +1,7 @@
 //! Entries in the store through which nodes find each other.
 //!
-//! The entries are called seeds. The few designated readers of each zone maintain them; a node that
-//! knows no peer reads them.
+//! Such an entry is called a seed and contains its node's membership record. The few designated
+//! readers of each zone maintain their own seeds; a node that knows no peer reads all of them.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,13 +16,13 @@
 
 /// Interval at which this node checks whether work is due.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Delay before failed calls for seeds are retried. An entry that expired during an outage of the
-/// store must be written again within two seconds of its end. That leaves time for two such delays,
-/// a call that times out and the calls that write the entry.
+/// Delay before failed calls for seeds are retried. A seed that expired during an outage of the
+/// store must be written again within two seconds of the end of the outage. That leaves time for
+/// two such delays, a call that times out and the calls that write the seed.
 const SEEDS_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Number of seeds through which a node without peers joins at once. More than one, because a seed
-/// may belong to a host that has ended; only a few, because each host that answers sends its whole
-/// table.
+/// may belong to a host that has stopped; only a few, because each host that answers sends its
+/// whole table.
 const MAX_CONCURRENT_JOINS: usize = 3;
 
 /// Maintains the seeds while this node follows the store, and discovers peers there while it knows
@@ -102,7 +102,7 @@
     }
 }
 
-/// Joins through all of these hosts at once; returns whether one answered.
+/// Joins through all of these hosts at once; returns whether at least one answered.
 async fn join_all(control: &Rc<Control>, records: &[Record]) -> bool {
     let joining = records.iter().map(|record| async {
         let joined = exchange::join_through(control, record.control_address).await;
@@ -118,9 +118,9 @@
 /// Renews this node's seed and joins through unknown hosts; returns false if the store failed.
 ///
 /// Failure: the store is down, and each of the few nodes that use it sends all its calls twice a
-/// second. Symptom: the calls cost as much within seconds as on a whole quiet day, and all of them
-/// reach the store at once when it recovers. The renewal, the cheapest of the calls, comes first;
-/// while it fails, no other call is sent.
+/// second. Symptom: the calls of a few seconds cost as much as those of a whole quiet day, and all
+/// of them reach the store at once when it recovers. The renewal, the cheapest of the calls, comes
+/// first; while it fails, no other call is sent.
 async fn maintain_seeds(control: &Rc<Control>) -> bool {
     if !renew_seed(control).await || !join_unknown(control).await {
         return false;
@@ -132,8 +132,8 @@
 /// Reads the seeds and joins through hosts that are not known yet, which also merges two fleets
 /// that formed separately. Returns false if the store failed.
 ///
-/// Failure: the store loses entries without ending their leases. Symptom: a node goes on renewing
-/// its lease but can no longer be found. This node therefore checks that the list contains its own
+/// Failure: the store loses seeds without ending their leases. Symptom: a node goes on renewing its
+/// lease but can no longer be found. This node therefore checks that the list contains its own
 /// seed; if a possibly stale list lacks it, the latest list decides.
 async fn join_unknown(control: &Rc<Control>) -> bool {
     let own_key = keys::seed(control.context.host());
--- a/crates/node/src/control/persistence.rs
+++ b/crates/node/src/control/persistence.rs
@@ -1,10 +1,10 @@
 //! Persistence of the quarantine in the store.
 //!
 //! Failure: all nodes lose power at once. Symptom: no node knows the quarantined requests any more,
-//! and their callers crash upstreams again. The few nodes that use the store for all others persist
-//! the quarantine there. A node that finds no peers when it starts loads it, together with the
-//! routing table or the entries of other nodes. Apart from that, the store is neither read nor
-//! written while no request is quarantined.
+//! and callers that repeat them crash upstreams again. The few nodes that use the store for all
+//! others persist the quarantine there. A node that finds no peers when it starts loads it,
+//! together with the routing table or the seeds of other nodes. Apart from that, the store is
+//! neither read nor written while no request is quarantined.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -31,6 +31,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Entry {
     fingerprint: Fingerprint,
+    /// Crashes of upstreams while the request was in progress.
     ends: Vec<Crash>,
     trials: u32,
     /// Expiry time in milliseconds since the Unix epoch, by the clock of the node that wrote it.
@@ -39,8 +40,8 @@
 
 /// Persists the quarantine whenever it changes on this node.
 ///
-/// Every node keeps a change pending until it uses the store: a node that has just started does
-/// not use it yet, and any node may take over from one that ended before it wrote the change.
+/// Every node keeps a change pending until it uses the store: a node that has just started does not
+/// use it yet, and any node may take over from one that stopped before it wrote the change.
 pub async fn run(control: Rc<Control>) {
     let mut stagger = Stagger::new(control.context.host());
     loop {
--- a/crates/node/src/control/watch.rs
+++ b/crates/node/src/control/watch.rs
@@ -153,9 +153,10 @@
 /// Reads the document, then watches it until the next read is due.
 ///
 /// Failure: a watch stops delivering changes without failing, or its answer is lost. Symptom: a
-/// change comes into force on no node. Probes detect dead connections, and the watches of the few
-/// nodes that use the store end at different times, so the next one delivers what the others lost.
-/// The key is also read at intervals, at a rate that does not grow with the size of the fleet.
+/// change comes into force on no node. Keep-alive probes detect dead connections, and the watches
+/// of the few nodes that use the store end at different times, so the next one delivers what the
+/// others lost. The key is also read at intervals, at a rate that does not grow with the size of
+/// the fleet.
 ///
 /// Failure: the store does not answer this node's calls for a while. Symptom: a watch that stayed
 /// open may have missed a change. Once the store answers again, everything is read again.
