--- a/crates/node/tests/answers.rs
+++ b/crates/node/tests/answers.rs
@@ -35,7 +35,7 @@
 #[case::window(128 * 1024)]
 #[case::large(20_000_000)]
 #[tokio::test]
-async fn answer_arrives_whole(#[case] length: usize) {
+async fn response_arrives_whole(#[case] length: usize) {
     let scene = start_processes(hosts(2)).await;
     for entry in 0..2 {
         let Reply::Answer { body, .. } = scene.call(entry, &bytes(length)).await else {
@@ -69,8 +69,8 @@
     );
 }
 
-/// A host refuses a request with a body before it hands it over. Guards against a retry on the next
-/// host with a truncated body.
+/// A host refuses a request with a body before it sends it to its upstream. Guards against a retry
+/// on the next host with a truncated body.
 #[tokio::test]
 async fn request_body_is_whole_at_the_second_host() {
     let scene = start_processes(hosts(2)).await;
@@ -94,7 +94,7 @@
 /// The upstream aborts its response halfway. Guards against a truncated response that looks
 /// complete to the caller.
 #[tokio::test]
-async fn broken_answer_is_seen_broken() {
+async fn truncated_response_is_reported_as_broken() {
     let scene = start_processes(hosts(1)).await;
     scene.update_behaviour(0, |behaviour| behaviour.manner = Mode::BreakAnswers);
     let reply = scene.call(0, &bytes(1_000_000)).await;
@@ -104,13 +104,13 @@
 /// The node beside the upstream is killed while it forwards a response. Guards against a truncated
 /// response that looks complete to the caller.
 #[tokio::test]
-async fn answer_cut_by_a_killed_guard_is_seen_broken() {
+async fn response_truncated_by_a_killed_guard_is_reported_as_broken() {
     let mut scene = start_processes_with_entry(1).await;
     let entry = scene.addresses(1).callers;
     let caller = scene.caller.clone();
     let call = bytes(2_000_000_000);
     let reading = tokio::spawn(async move { caller.call(entry, &call).await.reply });
-    wait_for("the answer begins", || {
+    wait_for("the response begins", || {
         scene.hosts[0].upstream.counts().open == 0 && scene.runs("bytes") == 1
     })
     .await;
@@ -161,7 +161,7 @@
 
 /// The caller disconnects. Guards against work that goes on at the upstream and keeps its slot.
 #[tokio::test]
-async fn hang_up_cancels_the_work() {
+async fn caller_disconnect_cancels_the_request() {
     let scene = start_processes(hosts(1)).await;
     scene.update_behaviour(0, |behaviour| behaviour.manner = Mode::Silent);
     let entry = scene.addresses(0).callers;
@@ -227,7 +227,7 @@
 /// The link to the node beside the upstream stalls permanently while new connections work. An idle
 /// link is checked before a request is sent on it, so the caller's request succeeds.
 #[tokio::test]
-async fn silent_idle_link_is_replaced_unnoticed() {
+async fn stalled_idle_link_is_replaced_without_an_error() {
     let (scene, relay) = relayed().await;
     assert!(
         scene
@@ -249,7 +249,7 @@
 /// unknown outcome long before its deadline. The host is not marked as failed, so the next request
 /// is served on a new connection.
 #[tokio::test]
-async fn link_silent_under_a_request_ends_as_unknown() {
+async fn request_on_a_stalled_link_ends_with_an_unknown_outcome() {
     let (scene, relay) = relayed().await;
     scene.update_behaviour(RELAYED, |behaviour| behaviour.service_micros = 400_000);
     let entry = scene.addresses(ENTRY).callers;
@@ -281,7 +281,7 @@
 /// The link is cut and later restored. Requests are refused as not run in the meantime, and served
 /// afterwards without a restart.
 #[tokio::test]
-async fn cut_link_is_not_run_and_heals() {
+async fn cut_link_refuses_as_not_run_until_restored() {
     let (scene, relay) = relayed().await;
     relay.set(Condition::Cut);
     let reply = scene.call(ENTRY, &post("cut", "key")).await;
@@ -309,9 +309,9 @@
 }
 
 /// One attempt loses its link and the next is refused before it runs. Guards against a refusal
-/// whose outcome is unknown but whose reason is that of the second attempt.
+/// whose outcome is unknown, because of the first attempt, but whose reason is that of the second.
 #[tokio::test]
-async fn refusal_after_a_lost_link_has_its_reason() {
+async fn refusal_after_a_lost_link_keeps_reason_link_lost() {
     let mut scene = start_processes_with_entry(2).await;
     for index in 0..2 {
         scene.update_behaviour(index, |behaviour| behaviour.manner = Mode::Silent);
@@ -355,7 +355,7 @@
 /// A request arrives on an idle connection while the node is paused. Guards against a connection
 /// that is closed without a response because the time for the header section has passed.
 #[tokio::test]
-async fn paused_node_answers_what_arrived_meanwhile() {
+async fn paused_node_answers_requests_that_arrived_during_the_pause() {
     let scene = start_processes(Plan {
         adjust: short_header_timeout,
         ..hosts(1)
--- a/crates/node/tests/at_most_once.rs
+++ b/crates/node/tests/at_most_once.rs
@@ -131,7 +131,7 @@
 /// caller's deadline. The caller is answered by its deadline, that answer stays true after the node
 /// has resumed, and with a repeat under the same key there is at most one run.
 #[tokio::test]
-async fn guard_paused_before_hand_over_runs_nothing_late() {
+async fn guard_paused_before_sending_runs_nothing_after_the_deadline() {
     let scene = start_processes_with_entry(1).await;
     scene.store.set_faults(Faults {
         slow_millis: 300,
@@ -220,12 +220,9 @@
 #[tokio::test]
 async fn store_write_applied_late_runs_nothing_twice() {
     let scene = start_processes(hosts(3)).await;
-    // The fault hits the next write of any kind, so the nodes must have written their seed entries
-    // before the claim. Each host is the only one in its zone, so each node writes one.
-    wait_for("all seed entries are written", || {
-        scene.store.count(SEEDS) == 3
-    })
-    .await;
+    // The fault hits the next write of any kind, so the nodes must have written their seeds before
+    // the claim. Each host is the only one in its zone, so each node writes one.
+    wait_for("all seeds are written", || scene.store.count(SEEDS) == 3).await;
     scene.store.set_faults(Faults {
         late_writes: 1,
         late_millis: 1_500,
--- a/crates/node/tests/crashes.rs
+++ b/crates/node/tests/crashes.rs
@@ -35,7 +35,7 @@
 }
 
 /// Returns the lines of a node's log that contain `message`.
-fn lines(scene: &Scene, index: usize, message: &str) -> Vec<String> {
+fn log_lines(scene: &Scene, index: usize, message: &str) -> Vec<String> {
     let logs = scene.process(index).logs();
     let found = logs.into_iter().filter(|line| line.contains(message));
     found.collect()
@@ -60,7 +60,7 @@
     for call in calls {
         assert!(call.await.expect("the caller lives").is_unknown());
     }
-    let crash_lines = || lines(&scene, 0, "upstream ended with requests in progress");
+    let crash_lines = || log_lines(&scene, 0, "upstream ended with requests in progress");
     wait_for("the crash is logged", || !crash_lines().is_empty()).await;
     let crash_lines = crash_lines();
     assert_eq!(crash_lines.len(), 1, "{crash_lines:?}");
@@ -84,7 +84,7 @@
         behaviour.unannounced_millis = 500;
     });
     scene.call(0, &crashing("ends")).await;
-    let logged_crashes = || lines(&scene, 0, "upstream ended with requests in progress").len();
+    let logged_crashes = || log_lines(&scene, 0, "upstream ended with requests in progress").len();
     wait_for("the crash is logged", || logged_crashes() == 1).await;
     scene.update_behaviour(0, |behaviour| behaviour.service_micros = 2_000_000);
     let give_up_at = Instant::now() + MAX_WAIT;
@@ -93,7 +93,7 @@
         scene.call(0, &with_timeout(1_500, get("after"))).await;
     }
     wait_for("the start is announced", || {
-        lines(&scene, 0, "upstream announced itself").len() == 2
+        log_lines(&scene, 0, "upstream announced itself").len() == 2
     })
     .await;
     assert_eq!(logged_crashes(), 1);
@@ -111,7 +111,7 @@
     assert!(!scene.call(0, &broken).await.is_success());
     common::set_all_modes(&scene, mintridge_standin::upstream::Mode::Serve);
     assert!(scene.call(0, &get("last")).await.is_success());
-    assert!(lines(&scene, 0, "upstream ended").is_empty());
+    assert!(log_lines(&scene, 0, "upstream ended").is_empty());
 }
 
 /// A request crashes each upstream that starts it, and its caller repeats it through any node, with
@@ -327,7 +327,7 @@
 }
 
 /// All upstreams of a service crash with a common request in progress that causes none of the
-/// crashes. The common request must be served as soon as an upstream is back.
+/// crashes. The common request must be served as soon as an upstream is available again.
 #[tokio::test]
 async fn common_request_is_served_after_a_loss_of_all_upstreams() {
     let scene = start_processes(hosts(4)).await;
--- a/crates/node/tests/drill.rs
+++ b/crates/node/tests/drill.rs
@@ -15,33 +15,30 @@
 
 /// Time within which an accepted change must be in force on every node.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time within which the nodes must have rewritten their entries after the store is restored.
+/// Time within which the nodes must have rewritten their seeds after the store is restored.
 const RESTORE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Puts a preset in force and waits until every node reports it.
-async fn put_in_force(scene: &Scene, retry_share: f64, mark: &str) -> InForce {
-    let put = scene.activate_preset(preset(retry_share), mark).await;
-    let in_force = put.expect("accepted");
+async fn activate_and_wait(scene: &Scene, retry_share: f64, operator: &str) -> InForce {
+    let activated = scene.activate_preset(preset(retry_share), operator).await;
+    let in_force = activated.expect("accepted");
     until_revision(scene, in_force.revision.0).await;
     in_force
 }
 
-async fn until_entries(scene: &Scene, count: usize) {
-    wait_for("all entries are there", || {
-        scene.store.count(SEEDS) == count
-    })
-    .await;
+async fn until_seeds(scene: &Scene, count: usize) {
+    wait_for("all seeds are stored", || scene.store.count(SEEDS) == count).await;
 }
 
 /// The store is restored from a copy older than the preset in force. No node may ever report the
-/// older preset, and a node that starts while the store holds it must learn the newer one from its
-/// peers.
+/// older preset, and a node that starts while the store contains it must learn the newer one from
+/// its peers.
 #[tokio::test]
-async fn change_accepted_before_the_loss_stays_in_force() {
+async fn change_accepted_before_a_restore_stays_in_force() {
     let mut scene = start_processes(hosts(4)).await;
-    put_in_force(&scene, 0.1, "first").await;
+    activate_and_wait(&scene, 0.1, "first").await;
     scene.store.take_backup();
-    let second = put_in_force(&scene, 0.2, "second").await;
+    let second = activate_and_wait(&scene, 0.2, "second").await;
     scene.kill(3).await;
     let drill = Drill {
         rewrite_delay: Duration::from_secs(8),
@@ -67,9 +64,9 @@
 /// An operator changes the preset right after the store is restored. The store assigns the change a
 /// revision that nodes have already seen, and it must be in force everywhere in time nevertheless.
 #[tokio::test]
-async fn change_after_the_return_is_in_force() {
+async fn change_after_a_restore_comes_into_force() {
     let scene = start_processes(hosts(3)).await;
-    put_in_force(&scene, 0.1, "first").await;
+    activate_and_wait(&scene, 0.1, "first").await;
     scene.store.take_backup();
     for n in 0..20 {
         let key = format!("key-{n}");
@@ -85,19 +82,19 @@
     assert!(accepted_at.elapsed() < IN_FORCE_TIMEOUT);
 }
 
-/// The store is restored from a copy without the nodes' entries. Starting nodes look for peers
-/// there, so the entries must be back within two seconds, also after a second loss.
+/// The store is restored from a copy without the nodes' seeds. Starting nodes find peers through
+/// them, so they must be stored again within two seconds, also after a second restore.
 #[tokio::test]
-async fn entries_are_back_after_the_return() {
+async fn seeds_are_rewritten_after_a_restore() {
     let scene = start_processes(hosts(3)).await;
-    until_entries(&scene, 3).await;
+    until_seeds(&scene, 3).await;
     for loss in 0..2 {
         scene.store.remove_all(SEEDS);
         scene.store.take_backup();
-        until_entries(&scene, 3).await;
+        until_seeds(&scene, 3).await;
         scene.store.drill(Drill::default()).await;
         let restored_at = Instant::now();
-        until_entries(&scene, 3).await;
+        until_seeds(&scene, 3).await;
         let took = restored_at.elapsed();
         assert!(took < RESTORE_TIMEOUT, "loss {loss}: after {took:?}");
     }
@@ -107,9 +104,9 @@
 /// claim. A repeat through another node must not run again; the node can't know the result and
 /// answers that the request may have run.
 #[tokio::test]
-async fn repeat_of_a_claim_that_was_lost_runs_once() {
+async fn repeat_under_a_lost_claim_runs_once() {
     let scene = start_processes(hosts(3)).await;
-    until_entries(&scene, 3).await;
+    until_seeds(&scene, 3).await;
     scene.store.take_backup();
     assert!(scene.call(0, &post("first", "key")).await.is_success());
     scene.store.drill(Drill::default()).await;
@@ -119,21 +116,21 @@
 }
 
 /// A node is paused before the store loses its latest writes and resumes after the store is
-/// restored. Its state is from before the loss. Within seconds it must rewrite its entry, and it
+/// restored. Its state is from before the loss. Within seconds it must rewrite its seed, and it
 /// must not report an older preset than before.
 #[tokio::test]
-async fn node_that_was_paused_over_the_return_catches_up() {
+async fn node_paused_during_a_restore_catches_up() {
     let scene = start_processes(hosts(3)).await;
-    until_entries(&scene, 3).await;
+    until_seeds(&scene, 3).await;
     scene.store.remove_all(SEEDS);
     scene.store.take_backup();
-    until_entries(&scene, 3).await;
-    let second = put_in_force(&scene, 0.2, "second").await;
+    until_seeds(&scene, 3).await;
+    let second = activate_and_wait(&scene, 0.2, "second").await;
     scene.process(2).signal(Signal::STOP).expect("paused");
     scene.store.drill(Drill::default()).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     scene.process(2).signal(Signal::CONT).expect("resumed");
-    until_entries(&scene, 3).await;
+    until_seeds(&scene, 3).await;
     let status = scene.status(2).await.expect("it runs");
     assert!(status.view.in_force.revision >= second.revision);
 }
@@ -141,9 +138,9 @@
 /// All nodes lose power, and the store is restored with an older preset. The restarted nodes can't
 /// know the newer one until the operator writes it again; from then on every node must report it.
 #[tokio::test]
-async fn loss_of_all_nodes_during_the_drill_ends_with_the_repeated_preset() {
+async fn preset_written_again_is_in_force_after_a_loss_of_all_nodes() {
     let mut scene = start_processes(hosts(3)).await;
-    put_in_force(&scene, 0.1, "first").await;
+    activate_and_wait(&scene, 0.1, "first").await;
     scene.store.take_backup();
     let second = scene
         .activate_preset(preset(0.2), "second")
@@ -163,15 +160,15 @@
 /// The store loses its latest writes twice, some seconds apart, and a node is restarted after each
 /// loss. Callers must be served throughout, and no node may return to an older preset.
 #[tokio::test]
-async fn two_losses_with_restarts_keep_the_preset_and_serve_callers() {
+async fn two_restores_with_restarts_keep_the_preset_and_serve_callers() {
     let mut scene = start_processes(hosts(3)).await;
-    let mut newest = put_in_force(&scene, 0.1, "first").await;
+    let mut newest = activate_and_wait(&scene, 0.1, "first").await;
     for loss in 0..2_u32 {
         until_revision(&scene, newest.revision.0).await;
         scene.store.take_backup();
         let share = 0.2 + f64::from(loss) / 10.0;
-        let mark = format!("change-{loss}");
-        newest = put_in_force(&scene, share, &mark).await;
+        let operator = format!("change-{loss}");
+        newest = activate_and_wait(&scene, share, &operator).await;
         scene.store.drill(Drill::default()).await;
         scene.stop(2).await;
         for n in 0..20 {
--- a/crates/node/tests/explain.rs
+++ b/crates/node/tests/explain.rs
@@ -39,22 +39,22 @@
     }
 }
 
-/// Returns the story of a request once the logs of the nodes contain its cause.
-async fn story(scene: &Scene, request: &str) -> History {
+/// Returns the history of a request once the logs of the nodes contain its cause.
+async fn wait_for_history(scene: &Scene, request: &str) -> History {
     let timeout_at = Instant::now() + LOG_TIMEOUT;
     loop {
         let files: Vec<PathBuf> = (0..scene.hosts.len())
             .filter(|index| scene.hosts[*index].node.is_some())
             .map(|index| write_logs(scene, index))
             .collect();
-        let story = explain::read_history(request, &files);
+        let history = explain::read_history(request, &files);
         for file in files {
             let _ = fs::remove_file(file);
         }
-        if let Ok(story) = story
-            && !story.cause.is_empty()
+        if let Ok(history) = history
+            && !history.cause.is_empty()
         {
-            return story;
+            return history;
         }
         assert!(Instant::now() < timeout_at, "the logs contain no cause");
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -72,7 +72,7 @@
 /// The only slot is taken by a request that will not end before the deadline of the next one, which
 /// is refused at once. The logs must show the load that led to the refusal.
 #[tokio::test]
-async fn story_of_a_refusal_without_a_free_slot() {
+async fn history_of_a_refusal_without_a_free_slot() {
     let scene = start_processes(one_slot()).await;
     let entry = scene.addresses(0).callers;
     let caller = scene.caller.clone();
@@ -86,9 +86,13 @@
         .call(0, &with_timeout(5, post_without_key("refused")))
         .await;
     assert!(reply.is_not_run(), "{reply:?}");
-    let story = story(&scene, "refused").await;
-    assert!(story.cause.contains("deadline (503)"), "{}", story.cause);
-    let refused = story.events.iter();
+    let history = wait_for_history(&scene, "refused").await;
+    assert!(
+        history.cause.contains("deadline (503)"),
+        "{}",
+        history.cause
+    );
+    let refused = history.events.iter();
     let mut refused = refused.filter(|event| event.message == "refused beside the upstream");
     let refused = refused.next().expect("the guard logs the reason");
     assert!(refused.details.contains("in_flight=1"), "{refused:?}");
@@ -99,7 +103,7 @@
 /// request is refused at once with an unknown outcome; the logs of the entry node must show which
 /// link broke.
 #[tokio::test]
-async fn story_of_an_unknown_outcome() {
+async fn history_of_an_unknown_outcome() {
     let mut scene = start_processes(one_slot()).await;
     add_entry(&mut scene).await;
     scene.wait_until_joined().await;
@@ -113,17 +117,25 @@
     scene.kill(0).await;
     let reply = call.await.expect("the call ends").reply;
     assert!(reply.is_unknown(), "{reply:?}");
-    let story = story(&scene, "lost").await;
-    assert!(story.cause.contains("link-lost (502)"), "{}", story.cause);
-    assert!(story.cause.contains("it may have run"), "{}", story.cause);
+    let history = wait_for_history(&scene, "lost").await;
+    assert!(
+        history.cause.contains("link-lost (502)"),
+        "{}",
+        history.cause
+    );
+    assert!(
+        history.cause.contains("it may have run"),
+        "{}",
+        history.cause
+    );
     let names_the_link = |event: &explain::Event| event.details.contains("to=service-1");
-    assert!(story.events.iter().any(names_the_link), "{story:?}");
+    assert!(history.events.iter().any(names_the_link), "{history:?}");
 }
 
 /// Operators remove a route, and a caller that still requests it gets a 404. The logs must show the
 /// request and the version of the routing table that it was matched against.
 #[tokio::test]
-async fn story_of_a_removed_route() {
+async fn history_of_a_removed_route() {
     let adjust = |settings: &mut Settings| {
         use_caller_ids(settings);
         settings.routes.key = Some(String::from(ROUTES));
@@ -135,10 +147,14 @@
         .await;
     let reply = scene.call(0, &post_without_key("gone")).await;
     assert!(reply.is_not_run(), "{reply:?}");
-    let story = story(&scene, "gone").await;
-    assert!(story.cause.contains("no-route (404)"), "{}", story.cause);
+    let history = wait_for_history(&scene, "gone").await;
+    assert!(
+        history.cause.contains("no-route (404)"),
+        "{}",
+        history.cause
+    );
     let has_the_version = |event: &explain::Event| {
         event.message == "request not taken" && event.details.contains("routes_version=7")
     };
-    assert!(story.events.iter().any(has_the_version), "{story:?}");
+    assert!(history.events.iter().any(has_the_version), "{history:?}");
 }
--- a/crates/node/tests/leaving.rs
+++ b/crates/node/tests/leaving.rs
@@ -32,8 +32,8 @@
     scene.hosts[index].upstream.counts().requests
 }
 
-/// One node gets SIGTERM under load. All requests must be answered; callers of the stopped node use
-/// another one once it closes.
+/// One node gets SIGTERM under load. All requests must be answered. They are sent through the other
+/// nodes only, because callers of the stopped node use another one once it closes.
 #[tokio::test]
 async fn stop_of_a_node_cuts_no_request() {
     let mut scene = start_processes(hosts(3)).await;
--- a/crates/node/tests/pace.rs
+++ b/crates/node/tests/pace.rs
@@ -69,8 +69,8 @@
     settings.probe.timeout = Duration::from_secs(1);
     let node = node::start(settings, Adapter::default()).expect("it starts");
     let is_discovered = || {
-        let has_peers = !node.context().latest.upstreams.borrow().is_empty();
-        has_peers && node.context().latest.guarded.borrow().closed.is_none()
+        let is_known = !node.context().latest.upstreams.borrow().is_empty();
+        is_known && node.context().latest.guarded.borrow().closed.is_none()
     };
     wait_until("the upstream is discovered", is_discovered);
     node
--- a/crates/node/tests/presets.rs
+++ b/crates/node/tests/presets.rs
@@ -18,7 +18,7 @@
 
 /// Puts two presets in force, one after the other; returns the stored value of the first and the
 /// second preset in force.
-async fn put_two_in_force(scene: &Scene) -> (Vec<u8>, InForce) {
+async fn activate_two(scene: &Scene) -> (Vec<u8>, InForce) {
     scene
         .activate_preset(preset(0.2), "ana")
         .await
@@ -120,7 +120,7 @@
     last_node_learns_from_peers(scene, |settings| settings.peers = peers).await;
 }
 
-/// The same where the settings name hosts by another port and give the port of peers separately.
+/// The same, where the settings name a host with another port and set `peers_port` separately.
 #[tokio::test]
 async fn node_that_starts_during_an_outage_finds_peers_by_their_hosts() {
     let scene = start_processes(hosts(2)).await;
@@ -132,26 +132,26 @@
     .await;
 }
 
-/// Guards against a node that can no longer be found because the store lost its entry without
-/// reporting it, during an outage or while answering. The node must write the entry again.
+/// Guards against a node that can no longer be found because the store lost its seed without
+/// reporting it, during an outage or while answering. The node must write the seed again.
 #[rstest]
 #[case::during_an_outage(true)]
 #[case::while_it_answers(false)]
 #[tokio::test]
-async fn lost_entry_is_written_again(#[case] outage: bool) {
+async fn lost_seed_is_written_again(#[case] outage: bool) {
     let mut plan = hosts(1);
     plan.adjust = |settings| settings.control.seeds_every = Duration::from_secs(1);
     let scene = start_processes(plan).await;
     let key = format!("{SEEDS}{}", scene.hosts[0].name);
     let is_stored = || scene.store.value(&key).is_some();
-    wait_for("the entry is stored", is_stored).await;
+    wait_for("the seed is stored", is_stored).await;
     if outage {
         scene.store.set_faults(down());
         tokio::time::sleep(Duration::from_millis(1500)).await;
     }
     scene.store.remove(&key);
     scene.store.set_faults(Faults::default());
-    wait_for("the entry is back", is_stored).await;
+    wait_for("the seed is stored again", is_stored).await;
 }
 
 /// Guards against a change that is lost when two operators switch presets at the same moment. One
@@ -254,7 +254,7 @@
 #[tokio::test]
 async fn stale_or_invalid_presets_change_nothing() {
     let scene = start_processes(hosts(3)).await;
-    let (old, _) = put_two_in_force(&scene).await;
+    let (old, _) = activate_two(&scene).await;
     until_revision(&scene, 2).await;
     scene.store.replay(IN_FORCE, &old);
     scene.store.overwrite(IN_FORCE, &old);
@@ -278,9 +278,9 @@
     }
 }
 
-/// Guards against an operator's change that nodes ignore because the store came back with an older,
-/// no or an invalid preset and accepted the change under a revision that the nodes already passed.
-/// The nodes must write the preset in force back first.
+/// Guards against an operator's change that nodes ignore: the store now contains an older, no or an
+/// invalid preset and accepts the change under a revision that is not newer than the preset in
+/// force on the nodes. They must first write the preset in force back.
 #[rstest]
 #[case::older(Some(1))]
 #[case::empty(None)]
@@ -288,7 +288,7 @@
 #[tokio::test]
 async fn outdated_store_is_brought_up_to_date(#[case] revision: Option<u64>) {
     let scene = start_processes(hosts(3)).await;
-    let (old, latest) = put_two_in_force(&scene).await;
+    let (old, latest) = activate_two(&scene).await;
     until_revision(&scene, latest.revision.0).await;
     match revision {
         Some(0) => scene.store.overwrite(IN_FORCE, b"{ not a preset"),
@@ -314,12 +314,12 @@
         .await;
 }
 
-/// Guards against a node that stays on an old preset because it was frozen during two changes and
+/// Guards against a node that stays on an old preset because it was paused during two changes and
 /// resumes while the store is down. It must catch up from its peers.
 #[tokio::test]
-async fn frozen_node_catches_up_from_peers() {
+async fn paused_node_catches_up_from_peers() {
     let scene = start_processes(hosts(3)).await;
-    scene.process(2).signal(Signal::STOP).expect("frozen");
+    scene.process(2).signal(Signal::STOP).expect("paused");
     scene
         .activate_preset(preset(0.2), "ana")
         .await
@@ -344,7 +344,7 @@
 
 /// Guards against excessive calls to a store that is down for seconds: the calls are billed, and
 /// all nodes' retries reach the store at once when it recovers. A node reads the preset every 0.6 s
-/// and renews its entry every half second, and sends nothing else while the renewal fails. A node
+/// and renews its seed every half second, and sends nothing else while the renewal fails. A node
 /// that sent all its calls made 21 in three seconds.
 #[tokio::test]
 async fn calls_to_a_store_that_is_down_are_limited() {
@@ -352,7 +352,7 @@
     plan.adjust = |settings| settings.control.seeds_every = Duration::from_millis(500);
     let scene = start_processes(plan).await;
     let key = format!("{SEEDS}{}", scene.hosts[0].name);
-    wait_for("the entry is stored", || scene.store.value(&key).is_some()).await;
+    wait_for("the seed is stored", || scene.store.value(&key).is_some()).await;
     tokio::time::sleep(Duration::from_millis(1500)).await;
     scene.store.set_faults(down());
     let before = scene.store.calls();
@@ -361,5 +361,8 @@
     assert!(calls <= 15.0, "{calls} calls");
     scene.store.remove(&key);
     scene.store.set_faults(Faults::default());
-    wait_for("the entry is back", || scene.store.value(&key).is_some()).await;
+    wait_for("the seed is stored again", || {
+        scene.store.value(&key).is_some()
+    })
+    .await;
 }
--- a/crates/node/tests/restart.rs
+++ b/crates/node/tests/restart.rs
@@ -25,7 +25,7 @@
 /// but no data arrives on them.
 #[derive(Default)]
 struct Host {
-    /// Whether the upstream stops responding on a connection that receives a request now.
+    /// Whether a connection becomes unresponsive when it receives a request.
     silent: AtomicBool,
     /// Number of requests received.
     received: AtomicUsize,
@@ -44,8 +44,8 @@
     address
 }
 
-/// Answers requests without a body, until one arrives while the host is silent; from then on the
-/// connection stays silent.
+/// Answers requests without a body, until one arrives while `silent` is set; from then on the
+/// connection stays unresponsive.
 fn answer(mut stream: TcpStream, host: &Host) {
     let mut is_silent = false;
     let mut buffer = [0; 4096];
@@ -105,7 +105,7 @@
     }
 }
 
-async fn until_open(node: &Node) {
+async fn wait_until_gate_is_open(node: &Node) {
     wait_for("the upstream is known", || {
         let is_known = !node.context().latest.upstreams.borrow().is_empty();
         is_known && node.context().latest.guarded.borrow().closed.is_none()
@@ -130,7 +130,7 @@
     settings.guard.connect_within = MAX_WAIT;
     let node = node::start(settings, Adapter::default()).expect("it starts");
     announce(&node, &announcement(address, 1_000, 40));
-    until_open(&node).await;
+    wait_until_gate_is_open(&node).await;
     let callers = node.context().addresses.callers;
     let waiting: Vec<_> = (0..4).map(|_| tokio::spawn(call(callers))).collect();
     wait_for("all hold a slot", || {
@@ -160,7 +160,7 @@
 }
 
 /// Guards against callers that wait until their deadline after the upstream's host loses power and
-/// the upstream restarts under the same id, with its message sequence starting at one again. The
+/// the upstream restarts under the same id, with its announcements numbered from one again. The
 /// caller of the interrupted request must learn at once that the request may have run. The next
 /// request must use a connection to the new start, as kept connections to the old one stay silent.
 #[tokio::test(flavor = "multi_thread")]
@@ -169,7 +169,7 @@
     let address = upstream(&host);
     let node = start(address);
     announce(&node, &announcement(address, 1_000, 40));
-    until_open(&node).await;
+    wait_until_gate_is_open(&node).await;
     let callers = node.context().addresses.callers;
     assert!(call(callers).await.is_success());
 
@@ -210,7 +210,7 @@
     let address = upstream(&host);
     let node = start(address);
     announce(&node, &announcement(address, 1_000, 1));
-    until_open(&node).await;
+    wait_until_gate_is_open(&node).await;
     let callers = node.context().addresses.callers;
     let mut other = Announcement {
         instance: Arc::from(instance),
--- a/crates/node/tests/uploads.rs
+++ b/crates/node/tests/uploads.rs
@@ -16,7 +16,7 @@
 const UPLOAD_BYTES: usize = 360_000;
 /// Maximum number of bytes sent for a request that has no slot yet: the beginning of its body,
 /// which is needed for its fingerprint, its head, and the traffic that keeps the link alive.
-const MAX_CARRIED_BYTES: usize = 24 * 1024;
+const MAX_BYTES_BEFORE_SLOT: usize = 24 * 1024;
 
 /// A host behind a relay, and an entry with an open link to it.
 async fn relayed_with_open_link() -> (Scene, Arc<Relay>) {
@@ -80,8 +80,8 @@
     });
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert_eq!(scene.runs("waits"), 0);
-    let carried = relay.forwarded_bytes() - before;
-    assert!(carried < MAX_CARRIED_BYTES, "{carried} bytes");
+    let forwarded = relay.forwarded_bytes() - before;
+    assert!(forwarded < MAX_BYTES_BEFORE_SLOT, "{forwarded} bytes");
     let timed_reply = waiting.await.expect("the caller lives");
     assert!(timed_reply.reply.is_success(), "{:?}", timed_reply.reply);
 }
