--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -12,7 +12,7 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 
-use crate::dialect::{Answer, Call, Dialect};
+use crate::dialect::{Call, Dialect, HttpResponse};
 use crate::epoch::Epochs;
 use crate::operation::{Changes, Freshness, Item, Operation, Reply, Swap};
 use crate::{etcd, wire};
@@ -275,14 +275,14 @@
             path: wire::TXN.to_owned(),
             body: serde_json::to_vec(txn)?,
         };
-        let parse = |answer: Answer<'_>| {
-            if !answer.status.is_success() {
-                return Err(etcd::status_error(answer.status));
+        let parse = |response: HttpResponse<'_>| {
+            if !response.status.is_success() {
+                return Err(etcd::status_error(response.status));
             }
-            if !answer.complete {
+            if !response.complete {
                 return Ok(None);
             }
-            Ok(Some(serde_json::from_slice(answer.body)?))
+            Ok(Some(serde_json::from_slice(response.body)?))
         };
         self.exchange(call, self.timeout, parse).await
     }
@@ -325,7 +325,7 @@
 
     async fn run(&self, operation: &Operation, timeout: Duration) -> Result<Reply, Error> {
         let call = (self.dialect.call)(operation)?;
-        let parse = |answer: Answer<'_>| (self.dialect.reply)(operation, answer);
+        let parse = |response: HttpResponse<'_>| (self.dialect.reply)(operation, response);
         self.exchange(call, timeout, parse).await
     }
 
@@ -340,7 +340,7 @@
         &self,
         call: Call,
         header_timeout: Duration,
-        parse: impl Fn(Answer<'_>) -> Result<Option<T>, Error>,
+        parse: impl Fn(HttpResponse<'_>) -> Result<Option<T>, Error>,
     ) -> Result<T, Error> {
         let header_deadline = Instant::now() + header_timeout;
         let response = tokio::time::timeout_at(header_deadline.into(), self.send(call))
@@ -372,12 +372,12 @@
             if received.len() > MAX_REPLY_BYTES {
                 return Err(self.no_reply());
             }
-            let answer = Answer {
+            let received_response = HttpResponse {
                 status,
                 body: &received,
                 complete,
             };
-            match parse(answer)? {
+            match parse(received_response)? {
                 Some(reply) => return Ok(reply),
                 None if complete => return Err(Error::WatchEnded),
                 None => {}
--- a/crates/store/src/dialect.rs
+++ b/crates/store/src/dialect.rs
@@ -18,7 +18,7 @@
 
 /// HTTP response of the store, as far as it has been received.
 #[derive(Clone, Copy, Debug)]
-pub struct Answer<'a> {
+pub struct HttpResponse<'a> {
     /// HTTP status.
     pub status: StatusCode,
     /// Bytes of the body received so far.
@@ -33,7 +33,7 @@
     /// Builds the HTTP request for an operation.
     pub call: fn(&Operation) -> Result<Call, Error>,
     /// Parses a response; returns `None` while more of it is needed.
-    pub reply: fn(&Operation, Answer<'_>) -> Result<Option<Reply>, Error>,
+    pub reply: fn(&Operation, HttpResponse<'_>) -> Result<Option<Reply>, Error>,
     /// Whether the store keeps a watch open after the requested wait has passed without a change,
     /// so that the client has to end it.
     pub endless_watch: bool,
--- a/crates/store/src/etcd.rs
+++ b/crates/store/src/etcd.rs
@@ -7,7 +7,7 @@
 use serde::de::DeserializeOwned;
 
 use crate::client::Error;
-use crate::dialect::{Answer, Call, Dialect};
+use crate::dialect::{Call, Dialect, HttpResponse};
 use crate::operation::{Change, Changes, Freshness, Item, Operation, Page, Reply, Swap, Unchanged};
 use crate::wire;
 
@@ -54,19 +54,19 @@
     }
 }
 
-fn reply(operation: &Operation, answer: Answer<'_>) -> Result<Option<Reply>, Error> {
-    if !answer.status.is_success() {
-        return Err(status_error(answer.status));
+fn reply(operation: &Operation, response: HttpResponse<'_>) -> Result<Option<Reply>, Error> {
+    if !response.status.is_success() {
+        return Err(status_error(response.status));
     }
     if let Operation::Changes { .. } = operation {
-        return read_watch(answer);
+        return read_watch(response);
     }
-    if !answer.complete {
+    if !response.complete {
         return Ok(None);
     }
     let reply = match operation {
         Operation::Get { .. } | Operation::List { .. } => {
-            let range: wire::RangeReply = parse(answer)?;
+            let range: wire::RangeReply = parse(response)?;
             Reply::Page(Page {
                 items: range.kvs.into_iter().map(item).collect(),
                 more: false,
@@ -74,15 +74,15 @@
             })
         }
         Operation::Swap(_) => {
-            let transaction: wire::TxnReply = parse(answer)?;
+            let transaction: wire::TxnReply = parse(response)?;
             Reply::Swapped(transaction.succeeded)
         }
         Operation::Grant { .. } => {
-            let granted: wire::Lease = parse(answer)?;
+            let granted: wire::Lease = parse(response)?;
             Reply::Granted { lease: granted.id }
         }
         Operation::Renew { .. } => {
-            let renewed: wire::Streamed<wire::Lease> = parse(answer)?;
+            let renewed: wire::Streamed<wire::Lease> = parse(response)?;
             Reply::Renewed(renewed.result.ttl > 0)
         }
         Operation::Revoke { .. } | Operation::Changes { .. } => Reply::Revoked,
@@ -104,13 +104,13 @@
 }
 
 /// Returns the first item of the watch stream that contains changes.
-fn read_watch(answer: Answer<'_>) -> Result<Option<Reply>, Error> {
-    let mut items = serde_json::Deserializer::from_slice(answer.body).into_iter();
+fn read_watch(response: HttpResponse<'_>) -> Result<Option<Reply>, Error> {
+    let mut items = serde_json::Deserializer::from_slice(response.body).into_iter();
     loop {
         let item: wire::Streamed<wire::WatchReply> = match items.next() {
             Some(Ok(item)) => item,
             Some(Err(error)) if !error.is_eof() => return Err(Error::Malformed(error)),
-            Some(Err(_)) | None if answer.complete => return Err(Error::WatchEnded),
+            Some(Err(_)) | None if response.complete => return Err(Error::WatchEnded),
             Some(Err(_)) | None => return Ok(None),
         };
         let events: Vec<wire::Event> = item.result.events;
@@ -189,6 +189,6 @@
     })
 }
 
-fn parse<T: DeserializeOwned>(answer: Answer<'_>) -> Result<T, Error> {
-    Ok(serde_json::from_slice(answer.body)?)
+fn parse<T: DeserializeOwned>(response: HttpResponse<'_>) -> Result<T, Error> {
+    Ok(serde_json::from_slice(response.body)?)
 }
--- a/crates/store/tests/client.rs
+++ b/crates/store/tests/client.rs
@@ -64,7 +64,7 @@
 /// The store stops sending in the middle of a response. The call must fail, so that the node
 /// retries and does not wait forever.
 #[tokio::test]
-async fn read_gives_up_on_an_answer_that_stops_midway() {
+async fn read_gives_up_on_a_response_that_stops_midway() {
     let address = store(30_000, CHUNKS / 2).await;
     let client = Client::new(address, TIMEOUT);
     let failed = client.read("key").await;
--- a/crates/store/tests/epoch.rs
+++ b/crates/store/tests/epoch.rs
@@ -22,11 +22,11 @@
             let mut request = vec![0; 4096];
             let _ = stream.read(&mut request).await;
             let body = r#"{"header":{"revision":"7"},"kvs":[]}"#;
-            let answer = format!(
+            let response = format!(
                 "HTTP/1.1 200 OK\r\n{HEADER}: {epoch}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{body}",
                 body.len()
             );
-            let _ = stream.write_all(answer.as_bytes()).await;
+            let _ = stream.write_all(response.as_bytes()).await;
         }
     });
     Client::new(address, TIMEOUT).with_epochs(Epochs::from_header(HEADER))
@@ -35,7 +35,7 @@
 /// The store has been restored, and a response sent before the restoration arrives after one sent
 /// since. It reports a state that no longer exists and must be rejected.
 #[tokio::test]
-async fn read_drops_an_answer_of_an_earlier_epoch() {
+async fn read_rejects_a_response_of_an_earlier_epoch() {
     let client = client(&["3", "4", "3", "4"]).await;
     assert!(client.read("key").await.is_ok());
     assert_eq!(client.epochs().newest(), Some(Epoch(3)));
@@ -49,7 +49,7 @@
 /// A state read in one epoch is valid until any response carries the next epoch, including a
 /// response to another client of the same process.
 #[tokio::test]
-async fn wait_for_change_since_ends_with_the_first_answer_of_the_next_epoch() {
+async fn wait_for_change_since_ends_with_the_first_response_of_the_next_epoch() {
     let one = client(&["3", "4"]).await;
     let other = one.clone();
     assert!(one.read("key").await.is_ok());
@@ -65,7 +65,7 @@
 /// A response without an epoch, or with a header value that is not one, is accepted and does not
 /// count as a restoration.
 #[tokio::test]
-async fn read_takes_an_answer_without_an_epoch() {
+async fn read_accepts_a_response_without_an_epoch() {
     let client = client(&["3", "", "later"]).await;
     for _ in 0..3 {
         assert!(client.read("key").await.is_ok());
