--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -45,7 +45,7 @@
     pub events: Vec<Event>,
     /// Explanation of the outcome that the entry node logged.
     pub cause: String,
-    /// Number of lines that are not log lines of a node.
+    /// Number of lines that could not be parsed as log lines of a node.
     pub unread_lines: u64,
 }
 
@@ -164,9 +164,7 @@
         Reason::Unannounced => {
             "the upstream had not announced itself, or its announcement had expired"
         }
-        Reason::Stale => {
-            "the node had been suspended and had not exchanged state with other nodes since"
-        }
+        Reason::Stale => "the node had been paused and had not received up-to-date state since",
         Reason::NoUpstream => "the node knew of no host that offers the service",
         Reason::StoreUnavailable => "the store did not confirm the idempotency key",
         Reason::Duplicate => "the idempotency key was used before",
--- a/crates/ctl/src/commands/node.rs
+++ b/crates/ctl/src/commands/node.rs
@@ -11,7 +11,7 @@
 
 /// States of the nodes that responded, and addresses of those that did not.
 #[derive(Debug, Serialize)]
-struct Answers {
+struct Statuses {
     nodes: Vec<Status>,
     silent: Vec<std::net::SocketAddr>,
 }
@@ -22,27 +22,27 @@
 /// If none is given or none of them responds.
 pub async fn status(context: &Context) -> Result<(), Error> {
     let results = nodes::statuses(&context.nodes, context.timeout).await?;
-    let mut answers = Answers {
+    let mut statuses = Statuses {
         nodes: Vec::new(),
         silent: Vec::new(),
     };
     for result in results {
         match result {
-            Ok(status) => answers.nodes.push(status),
-            Err(address) => answers.silent.push(address),
+            Ok(status) => statuses.nodes.push(status),
+            Err(address) => statuses.silent.push(address),
         }
     }
-    answers.nodes.sort_by(|a, b| a.host.cmp(&b.host));
-    output::print(context.json, &answers, text)
+    statuses.nodes.sort_by(|a, b| a.host.cmp(&b.host));
+    output::print(context.json, &statuses, text)
 }
 
-fn text(answers: &Answers) -> String {
+fn text(statuses: &Statuses) -> String {
     let headings = [
         "SERVER", "ZONE", "SERVICE", "REVISION", "PRESET", "MEMBERS", "LOAD", "QUEUED", "STATE",
     ];
-    let rows: Vec<Vec<String>> = answers.nodes.iter().map(row).collect();
+    let rows: Vec<Vec<String>> = statuses.nodes.iter().map(row).collect();
     let mut text = output::table(&headings, &rows);
-    for address in &answers.silent {
+    for address in &statuses.silent {
         let _ = writeln!(text, "{address} does not respond");
     }
     text
--- a/crates/ctl/src/commands/preset.rs
+++ b/crates/ctl/src/commands/preset.rs
@@ -80,10 +80,10 @@
 /// Warns about hosts in `leaving` that no node knows. This is not an error, because a preset may
 /// name a host that does not exist yet.
 async fn warn_about_unknown_hosts(context: &Context, preset: &Preset) {
-    let Ok(answers) = nodes::statuses(&context.nodes, context.timeout).await else {
+    let Ok(statuses) = nodes::statuses(&context.nodes, context.timeout).await else {
         return;
     };
-    let hosts: Vec<Arc<str>> = answers.into_iter().flatten().map(|s| s.host).collect();
+    let hosts: Vec<Arc<str>> = statuses.into_iter().flatten().map(|s| s.host).collect();
     for host in preset.leaving.iter().filter(|name| !hosts.contains(name)) {
         eprintln!("warning: leaving contains {host}, which no node knows");
     }
@@ -123,9 +123,9 @@
     deadline: Instant,
 ) -> Result<(), Error> {
     loop {
-        let answers = nodes::statuses(&context.nodes, context.timeout).await?;
-        let total = answers.len();
-        let confirmed = answers
+        let statuses = nodes::statuses(&context.nodes, context.timeout).await?;
+        let total = statuses.len();
+        let confirmed = statuses
             .into_iter()
             .flatten()
             .filter(|status| status.view.in_force.revision >= revision)
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -34,7 +34,7 @@
     Unconfirmed {
         /// Number of nodes on which the change is in force.
         confirmed: usize,
-        /// Number of nodes asked.
+        /// Number of nodes queried.
         total: usize,
     },
     /// No line of the logs mentions the request.
--- a/crates/ctl/src/nodes.rs
+++ b/crates/ctl/src/nodes.rs
@@ -33,8 +33,8 @@
     response.ok().flatten().ok_or(Error::NoResponse(address))
 }
 
-/// Queries the seed nodes and all nodes that they know. The result contains the address of each
-/// node that does not respond.
+/// Queries the seed nodes and all nodes known to the first seed that responds. The result contains
+/// the address of each node that does not respond.
 ///
 /// # Errors
 /// If `seeds` is empty, or no seed responds.
--- a/crates/http/src/pipeline.rs
+++ b/crates/http/src/pipeline.rs
@@ -70,7 +70,7 @@
     /// Time since which all requests read are answered; `None` while a response is awaited or
     /// written.
     idle_since: Mutex<Option<Instant>>,
-    /// Requests whose stub the writing side has read and whose response it has yet to take.
+    /// Requests whose stub the writing side has read and whose response it does not await yet.
     awaiting_response: Mutex<VecDeque<Pending>>,
     phase: watch::Receiver<Phase>,
 }
@@ -228,16 +228,16 @@
         wait_until_closing(&mut phase).await;
         wait_until_idle(stream, &shared, first_request_deadline).await;
     };
-    let ended = tokio::select! {
+    let result = tokio::select! {
         biased;
-        ended = connection.as_mut() => ended,
+        result = connection.as_mut() => result,
         () = idle_when_closing => {
             connection.as_mut().graceful_shutdown();
             connection.as_mut().await
         }
     };
     shared.stopped.store(true, Ordering::Relaxed);
-    if let Err(error) = ended {
+    if let Err(error) = result {
         log::debug!(error:% = error; "failed to read a request from the caller");
         if !error.is_timeout() && !error.is_parse() {
             return;
--- a/crates/http/src/problem.rs
+++ b/crates/http/src/problem.rs
@@ -13,7 +13,7 @@
 pub const OUTCOME: HeaderName = HeaderName::from_static("mintridge-outcome");
 /// Header with the [`Reason`], present on every refusal.
 pub const REASON: HeaderName = HeaderName::from_static("mintridge-reason");
-/// Header that names the proxy that refused the request (RFC 9209).
+/// Header that names the proxy that refused the request and the type of error (RFC 9209).
 pub const PROXY_STATUS: HeaderName = HeaderName::from_static("proxy-status");
 
 /// Problem details in the body of a refusal.
@@ -32,7 +32,7 @@
     pub reason: Reason,
     /// The host whose node refused the request.
     pub host: String,
-    /// Number of the request, as in the log lines.
+    /// Id of the request, as in the log lines.
     pub request: String,
 }
 
@@ -111,7 +111,7 @@
     }
 }
 
-/// Returns the error type registered for `Proxy-Status`.
+/// Returns the registered `Proxy-Status` error type (RFC 9209) that is closest to the reason.
 const fn proxy_error(reason: Reason) -> &'static str {
     match reason {
         Reason::Busy | Reason::Late => "connection_limit_reached",
--- a/crates/http/src/quiet_timer.rs
+++ b/crates/http/src/quiet_timer.rs
@@ -17,10 +17,10 @@
 
 /// Creates the timers of one connection.
 ///
-/// Failure: the process is frozen or starved for longer than a timeout, and the awaited bytes have
-/// arrived meanwhile. Symptom: the runtime fires the timer before it polls the socket, and the
-/// connection closes with a request or a response in its receive buffer. A timer therefore asks the
-/// operating system for unread bytes before it fires.
+/// Failure: the process is paused or gets no CPU time for longer than a timeout, and the awaited
+/// bytes have arrived meanwhile. Symptom: the runtime fires the timer before it polls the socket,
+/// and the connection closes with a request or a response in its receive buffer. A timer therefore
+/// checks with the operating system for unread bytes before it fires.
 ///
 /// The socket is referenced weakly, so a timer does not keep the connection open.
 #[derive(Clone)]
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -54,8 +54,8 @@
 /// Flow-control window of a stream: the bytes of a request body that may be in flight before the
 /// handler reads it.
 ///
-/// A request that is refused before it is handed over has sent up to this much of its body in vain.
-/// A larger body needs one round trip per window.
+/// When a request is refused before its handler reads the body, up to this many bytes have been
+/// sent in vain. A body larger than the window needs one round trip per window.
 const WINDOW_BYTES: u32 = 16 * 1024;
 
 impl Default for Limits {
@@ -318,6 +318,7 @@
         .timer(TokioTimer::new())
         .header_read_timeout(limits.header_timeout)
         .max_headers(limits.header_fields)
+        // Hyper panics if the buffer is smaller than 8192 bytes.
         .max_buf_size(limits.header_bytes.max(8192));
     builder
 }
@@ -327,6 +328,8 @@
 fn http2(limits: &Limits) -> hyper::server::conn::http2::Builder<TokioExecutor> {
     let mut builder = hyper::server::conn::http2::Builder::new(TokioExecutor::new());
     let header_bytes = u32::try_from(limits.header_bytes).unwrap_or(u32::MAX);
+    // Hyper closes a connection with more pending reset streams than this (20 by default). The
+    // limit equals the number of streams, so a peer can cancel all of them at once.
     let resets = usize::try_from(limits.streams).unwrap_or(usize::MAX);
     builder
         .timer(TokioTimer::new())
--- a/crates/http/src/socket.rs
+++ b/crates/http/src/socket.rs
@@ -126,8 +126,8 @@
     socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write)
 }
 
-/// Returns whether bytes that have arrived are unread. Asks the operating system, since the
-/// runtime's readiness may be out of date.
+/// Returns whether the socket has received bytes that were not read. Queries the operating system,
+/// since the runtime's readiness may be out of date.
 #[must_use]
 pub fn has_unread(stream: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
--- a/crates/http/tests/broken_stream.rs
+++ b/crates/http/tests/broken_stream.rs
@@ -63,12 +63,12 @@
         .body(Body::new(StreamBody::new(body_stream)))
         .expect("a request");
     let mut request_sender = sender.clone();
-    let answer = tokio::spawn(async move { request_sender.send_request(request).await });
+    let call = tokio::spawn(async move { request_sender.send_request(request).await });
     chunk_sender
         .send(Bytes::from_static(b"the beginning"))
         .expect("sent");
     tokio::time::sleep(Duration::from_millis(100)).await;
-    answer.abort();
+    call.abort();
 
     let is_complete = tokio::time::timeout(WAIT_TIMEOUT, completed.recv()).await;
     drop(sender);
--- a/crates/http/tests/common/mod.rs
+++ b/crates/http/tests/common/mod.rs
@@ -43,7 +43,7 @@
 
 /// Sleeps for the number of milliseconds in the path, then responds with the path and the body.
 /// See [`REFUSED`] and [`BUSY_PREFIX`] for other paths.
-async fn answer(counters: Arc<Counters>, request: Request<Body>) -> Response<Body> {
+async fn respond(counters: Arc<Counters>, request: Request<Body>) -> Response<Body> {
     let running = counters.running.fetch_add(1, Ordering::SeqCst) + 1;
     counters.max_running.fetch_max(running, Ordering::SeqCst);
     let mut guard = RunningGuard(counters, false);
@@ -96,7 +96,7 @@
         runtime.block_on(async move {
             let listener = TcpListener::from_std(listener).expect("a listener");
             let handler = Function::new(server_counters, |counters, request| -> ResponseFuture {
-                Box::pin(answer(counters, request))
+                Box::pin(respond(counters, request))
             });
             let protocol = Protocol::Pipelined(8);
             serve(listener, handler, protocol, limits, receiver).await;
--- a/crates/http/tests/window.rs
+++ b/crates/http/tests/window.rs
@@ -1,4 +1,4 @@
-//! How much of a body is sent to a host before it refuses the request.
+//! Limit on how much of a body is sent to a host that refuses the request without reading it.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -53,8 +53,8 @@
     }
 }
 
-/// Answers a link check at once, and refuses any other request once notified, without reading the
-/// body.
+/// Responds to the check of a link at once, and refuses any other request once notified, without
+/// reading its body.
 async fn refuse(refuse_signal: Arc<Notify>, request: Request<Body>) -> Response<Body> {
     if request.method() == Method::GET {
         return reply::text(StatusCode::OK, "here\n");
@@ -93,9 +93,9 @@
         .await
         .expect("HTTP/2");
     tokio::spawn(connection);
-    let check = Request::get("http://host/").body(Upload::empty());
-    let checked = sender.send_request(check.expect("a request")).await;
-    assert_eq!(checked.expect("an answer").status(), StatusCode::OK);
+    let check_request = Request::get("http://host/").body(Upload::empty());
+    let check_response = sender.send_request(check_request.expect("a request")).await;
+    assert_eq!(check_response.expect("a response").status(), StatusCode::OK);
     let sent_bytes = Arc::new(AtomicUsize::new(0));
     let upload = Upload {
         sent_bytes: Arc::clone(&sent_bytes),
@@ -103,7 +103,7 @@
     let request = Request::post("http://host/")
         .body(upload)
         .expect("a request");
-    let answer = tokio::spawn(async move { sender.send_request(request).await });
+    let call = tokio::spawn(async move { sender.send_request(request).await });
 
     let give_up_at = Instant::now() + WAIT_TIMEOUT;
     while sent_bytes.load(Ordering::SeqCst) < 2 * CHUNK_BYTES {
@@ -113,8 +113,8 @@
     // Long enough for everything that may be sent to arrive, since the sender is on the same host.
     tokio::time::sleep(Duration::from_millis(200)).await;
     refuse_signal.notify_one();
-    let answer = answer.await.expect("the call ends").expect("an answer");
-    assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
+    let response = call.await.expect("the call ends").expect("a response");
+    assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
     let sent_bytes = sent_bytes.load(Ordering::SeqCst);
     assert!(
         sent_bytes <= UPLOAD_BYTES / 2,
--- a/crates/store/src/keys.rs
+++ b/crates/store/src/keys.rs
@@ -7,10 +7,10 @@
 /// Prefix of the seeds, the nodes through which a new node finds the fleet; each a
 /// [`mintridge_core::membership::Record`] attached to a lease.
 pub const SEEDS: &str = "mintridge/seeds/";
-/// Key of the quarantined requests, those under which upstreams crashed, all in one value.
+/// Key of the quarantine: the requests during which upstreams crashed, all in one value.
 pub const QUARANTINE: &str = "mintridge/held";
-/// Prefix of the claimed idempotency keys, each with the mark of its request as the value and
-/// attached to a lease.
+/// Prefix of the claimed idempotency keys, each with the id of the request that owns the claim as
+/// the value, and attached to a lease.
 pub const CLAIMS: &str = "mintridge/claims/";
 
 /// Returns the key of one preset.
--- a/crates/store/src/presets.rs
+++ b/crates/store/src/presets.rs
@@ -66,7 +66,7 @@
 /// The preset in force as stored.
 #[derive(Clone, Debug, Default)]
 pub struct Current {
-    /// The document; the built-in one if none was ever written.
+    /// The preset in force; the built-in one if none was ever written.
     pub in_force: InForce,
     /// Store revision of the last change; 0 if the key is absent.
     pub mod_revision: i64,
@@ -132,7 +132,7 @@
 /// Writes a preset. If it is the one in force, the same transaction puts its new contents in force.
 ///
 /// `expected` is the store revision on which the edit is based; `None` overwrites any revision.
-/// Returns the new document in force if the change affects it.
+/// Returns the new preset in force if the change affects it.
 ///
 /// # Errors
 /// See [`ChangeError`].
@@ -198,8 +198,8 @@
     swap_in_force(store, change, next).await
 }
 
-/// Writes a document back if the store still holds the revision that was read; returns false if
-/// not.
+/// Writes the preset in force back to a store that contains an older, an invalid or no preset.
+/// Returns false and writes nothing if the store revision of its key is no longer `mod_revision`.
 ///
 /// # Errors
 /// If the call fails.
