--- a/crates/node/src/control/epochs.rs
+++ b/crates/node/src/control/epochs.rs
@@ -10,7 +10,7 @@
 ///
 /// Failure: the store is restored from an older copy and loses its most recent writes. Symptom:
 /// this node's seed and the quarantine are missing, or are attached to a lease id that has been
-/// granted again, while the node assumes that they are stored. The few nodes that use the store
+/// granted again, while the node assumes that they are stored. The few nodes that follow the store
 /// write everything again that they wrote before.
 pub async fn follow(control: Rc<Control>) {
     let mut newest = control.store.epochs().subscribe();
--- a/crates/node/src/control/persistence.rs
+++ b/crates/node/src/control/persistence.rs
@@ -1,7 +1,7 @@
 //! Persistence of the quarantine in the store.
 //!
 //! Failure: all nodes lose power at once. Symptom: no node knows the quarantined requests any more,
-//! and callers that repeat them crash upstreams again. The few nodes that use the store for all
+//! and callers that repeat them crash upstreams again. The few nodes that follow the store for all
 //! others persist the quarantine there. A node that finds no peers when it starts loads it,
 //! together with the routing table or the seeds of other nodes. Apart from that, the store is
 //! neither read nor written while no request is quarantined.
--- a/crates/node/src/control/watch.rs
+++ b/crates/node/src/control/watch.rs
@@ -1,7 +1,7 @@
 //! Watches on the documents of operators in the store: the preset in force, the routing table and,
 //! together with it, the evacuated availability zones.
 //!
-//! The few nodes that use the store watch each document and also read it at intervals. All other
+//! The few nodes that follow the store watch each document and also read it at intervals. All other
 //! nodes receive changes from them through exchanges.
 
 use std::rc::Rc;
@@ -154,7 +154,7 @@
 ///
 /// Failure: a watch stops delivering changes without failing, or its answer is lost. Symptom: a
 /// change comes into force on no node. Keep-alive probes detect dead connections, and the watches
-/// of the few nodes that use the store end at different times, so the next one delivers what the
+/// of the few nodes that follow the store end at different times, so the next one delivers what the
 /// others lost. The key is also read at intervals, at a rate that does not grow with the size of
 /// the fleet.
 ///
--- a/crates/node/src/guard.rs
+++ b/crates/node/src/guard.rs
@@ -89,8 +89,8 @@
     health: Health,
     /// Budget for probes of a doubtful upstream: a share of the time of one slot.
     probe_budget: probe::Budget,
-    /// Budget for pace polls, which ask the upstream for its host's current speed: the same share of
-    /// the time of all other slots, so that both budgets together stay within that share of the
+    /// Budget for pace polls, which ask the upstream for its host's current speed: the same share
+    /// of the time of all other slots, so that both budgets together stay within that share of the
     /// upstream.
     pace_budget: probe::Budget,
     announcement: Option<Announcement>,
--- a/crates/node/src/guard/pace.rs
+++ b/crates/node/src/guard/pace.rs
@@ -1,9 +1,10 @@
 //! Polls the upstream for its host's current speed when there is no recent report.
 //!
 //! A request that starts on a slow host stays slow until it ends, and a host is slow for phases of
-//! some hundred milliseconds, so a report that is older than one phase is useless. Under load each response carries a report. With little
-//! traffic, the guard polls the upstream before it starts a request, over a connection that is
-//! already open and within the budget for pace polls. Without budget, it uses the last report.
+//! some hundred milliseconds, so a report that is older than one phase is useless. Under load each
+//! response carries a report. With little traffic, the guard polls the upstream before it starts a
+//! request, over a connection that is already open and within the budget for pace polls. Without
+//! budget, it uses the last report.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -37,8 +38,8 @@
     }
 }
 
-/// Polls the upstream for its host's speed (the pace) and its remaining cold time. Returns false without budget or without a
-/// response from the current instance.
+/// Polls the upstream for its host's speed (the pace) and its remaining cold time. Returns false
+/// without budget or without a response from the current instance.
 pub async fn poll(guard: &Guard, timeout: Duration) -> bool {
     let started_at = Instant::now();
     let Some((announcement, reservation)) = reserve(guard, started_at) else {
--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -169,8 +169,8 @@
     }
 }
 
-/// JSON response to an ordinary request. It repeats what the upstream received, so that a caller can
-/// check that the response belongs to its own request.
+/// JSON response to an ordinary request. It repeats what the upstream received, so that a caller
+/// can check that the response belongs to its own request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
     /// Name of the upstream that sent the response.
@@ -211,8 +211,8 @@
         }
     }
 
-    /// Replaces the behaviour. Requests in progress keep their slots; if the number of slots changes,
-    /// these don't count against the new number.
+    /// Replaces the behaviour. Requests in progress keep their slots; if the number of slots
+    /// changes, these don't count against the new number.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         let mut state = self.state.lock();
         if behaviour.slots != state.behaviour.slots {
