--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -168,8 +168,10 @@
         }
     }
 
-    /// Whether the host is leaving for any cause other than an evacuation, after which it serves
-    /// requests again.
+    /// Whether the host is leaving for any cause other than an evacuation.
+    ///
+    /// The result is part of the host's membership record. If evacuations counted, the records of a
+    /// whole availability zone would change at once.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.drain_causes
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -3,7 +3,7 @@
 //! Load pattern: one request crashes every upstream that starts to run it, together with all other
 //! requests in progress there. Its caller retries it several times a second, through any node and
 //! under a new id each time. Placed like any other request, it crashes the upstreams of a service
-//! one after the other, beginning with those that have restarted.
+//! one after the other, and crashes them again once they have restarted.
 //!
 //! The evidence is a [`Crash`]: an upstream crashed while certain requests were in progress. Only
 //! the node beside that upstream observes it, so nodes gossip crashes, and sets of crashes merge in
--- a/crates/node/src/control/persistence.rs
+++ b/crates/node/src/control/persistence.rs
@@ -40,8 +40,8 @@
 
 /// Persists the quarantine whenever it changes on this node.
 ///
-/// Every node keeps a change pending until it uses the store: a node that has just started does not
-/// use it yet, and any node may take over from one that stopped before it wrote the change.
+/// Every node keeps a change pending until it follows the store: a node that has just started does
+/// not follow it yet, and any node may take over from one that stopped before it wrote the change.
 pub async fn run(control: Rc<Control>) {
     let mut stagger = Stagger::new(control.context.host());
     loop {
@@ -53,7 +53,8 @@
     }
 }
 
-/// Writes the quarantine if this node uses the store; returns false if the write is still pending.
+/// Writes the quarantine if this node follows the store; returns false if the write is still
+/// pending.
 async fn try_write(control: &Control) -> bool {
     if !control.follows_store(Instant::now()) {
         return false;
--- a/crates/node/src/entry/attempt.rs
+++ b/crates/node/src/entry/attempt.rs
@@ -191,6 +191,8 @@
     let Some(refusal) = refusal else {
         return Attempt::Answered(response);
     };
+    // `Duplicate` and `Quarantined` concern the request and say nothing about the host. Unlike
+    // `Avoid`, `Full` does not make placement avoid the host.
     placed.ending = match refusal.reason {
         Reason::Busy
         | Reason::Late
--- a/crates/node/src/guard/discovery.rs
+++ b/crates/node/src/guard/discovery.rs
@@ -18,8 +18,9 @@
 /// Timeout of a health check, and delay before the next one. Several health checks fit into the
 /// interval between two announcements.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Maximum number of health checks: an upstream that answers none of them over two seconds is down
-/// and announces itself once it runs again.
+/// Maximum number of health checks: an upstream that answers none of them is down and announces
+/// itself once it runs again. The delays alone add up to two seconds; if all checks time out, they
+/// take two more.
 const MAX_CHECKS: u32 = 10;
 
 /// Runs a discovery at startup and after each response of an instance other than the expected one.
--- a/crates/node/src/guard/hand_over.rs
+++ b/crates/node/src/guard/hand_over.rs
@@ -210,6 +210,10 @@
     }
 
     /// Records the upstream's response, whose head arrived after `took`.
+    ///
+    /// Of all statuses only 503 and 429 mean that the upstream shed the request, so only they lower
+    /// the limit. A 502 is recorded as served, but a fast one also counts as a failure, so that an
+    /// upstream that fails fast becomes doubtful.
     fn record_response(&self, now: Instant, id: Id, status: StatusCode, took: Duration) {
         let shed = matches!(
             status,
