--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -170,6 +170,8 @@
 
     /// Whether the host is leaving for any cause other than an evacuation.
     ///
+    /// After an evacuation, the host serves requests again.
+    ///
     /// The result is part of the host's membership record. If evacuations counted, the records of a
     /// whole availability zone would change at once.
     #[must_use]
--- a/crates/node/src/control/holder.rs
+++ b/crates/node/src/control/holder.rs
@@ -118,10 +118,9 @@
 /// Renews this node's seed and joins through unknown hosts; returns false if the store failed.
 ///
 /// Failure: the store is down, and each designated reader sends all its calls twice a second.
-/// Symptom: the calls of a few seconds cost as much as those of a whole recorded day without an
-/// outage (in the logs 250 calls, and 675 on a day with one), and all of them reach the store at
-/// once when it recovers. The renewal, the cheapest of the calls, comes first; while it fails, no
-/// other call is sent.
+/// Symptom: the calls of a few seconds cost as much as those of a whole day without an outage, and
+/// all of them reach the store at once when it recovers. The renewal, the cheapest of the calls,
+/// comes first; while it fails, no other call is sent.
 async fn maintain_seeds(control: &Rc<Control>) -> bool {
     if !renew_seed(control).await || !join_unknown(control).await {
         return false;
