--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -173,7 +173,7 @@
         Reason::BadRequest => "the request was malformed or lacked a required header",
         Reason::Shed => "the upstreams reported that they did not run it",
         Reason::Misdirected => "another instance of the upstream was listening at the address",
-        Reason::ForeignAnswer => "the response received belonged to another request",
+        Reason::ForeignAnswer => "the response received was not the response to this request",
         Reason::Unconfigured => "the node had no routing table yet",
         Reason::NoRoute => "the routing table in force had no route for it",
         Reason::Quarantined => {
