--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -54,8 +54,8 @@
 /// Flow-control window of a stream: the bytes of a request body that may be in flight before the
 /// handler reads it.
 ///
-/// When a request is refused before its handler reads the body, up to this many bytes have been
-/// sent in vain. A body larger than the window needs one round trip per window.
+/// When a request is refused before its handler reads the body, up to this many bytes were sent
+/// although they are discarded. A body larger than the window needs one round trip per window.
 const WINDOW_BYTES: u32 = 16 * 1024;
 
 impl Default for Limits {
--- a/crates/node/src/guard/hand_over.rs
+++ b/crates/node/src/guard/hand_over.rs
@@ -83,8 +83,8 @@
     /// Checks once more that the request may run, immediately before it is sent.
     ///
     /// Failure: the process is paused between admission and here, or the claim took long. Symptom:
-    /// a request runs after its caller was told that it may not have run, or on a host that has
-    /// long since left the cluster. The monotonic clock shows the pause.
+    /// a request runs although its caller has already received a refusal for it, or it runs on a
+    /// host that left long ago. The monotonic clock shows the pause.
     fn check_hand_over(&self, now: Instant, head: &Head) -> Result<SocketAddr, Refusal> {
         let mut state = self.state.lock();
         if now >= head.deadline {
