--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -61,7 +61,7 @@
     Shed,
     /// Another instance of the upstream than expected is listening at the address.
     Misdirected,
-    /// The response received belongs to another request.
+    /// The response received is not the response to this request.
     ForeignAnswer,
     /// The node has no routing table yet.
     Unconfigured,
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -52,7 +52,9 @@
         /// Whether the request may have been sent to the previous incarnation.
         sent: bool,
     },
-    /// The response belongs to another request, or lacks the upstream's signature header.
+    /// The response received is not the response to this request: it does not echo the request's
+    /// id, lacks the upstream's signature or instance header, or has an encoding that the request
+    /// does not allow.
     #[error("the response received is not the upstream's response to this request")]
     Foreign,
 }
